--- a/chervilrock/decisions/serving/adoption.py
+++ b/chervilrock/decisions/serving/adoption.py
@@ -1,32 +1,32 @@
-"""The groups that an earlier leader has formed, as its successor finds them."""
+"""Adoption of the groups that an earlier leader formed."""
 
 from chervilrock.decisions.serving import groupnames
 from chervilrock.decisions.serving.doubts import Doubts
-from chervilrock.decisions.serving.effects import Step
+from chervilrock.decisions.serving.effects import GroupStep
 from chervilrock.decisions.serving.groupboard import GroupBoard
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.site import BackendServer, MemberState
 
-ADOPT_S = 0.3
-"""Time for the entries of all members of a group that was found to come."""
+ADOPTION_WAIT_S = 0.3
+"""Time to wait for the entries of all members of a group to arrive."""
 
 
 class Adoption:
-    """Takes groups over whose names this leader has not given."""
+    """Takes over groups of earlier leaders that appear in servers' entries."""
 
-    def __init__(self, *, board: GroupBoard, doubts: Doubts) -> None:
-        """Have found nothing yet.
+    def __init__(self, *, board: GroupBoard, verifier: Doubts) -> None:
+        """Create an adoption without groups.
 
         Args:
-          board: where the groups go.
-          doubts: asks whether groups that are open are still whole.
+          board: registry that receives the groups.
+          verifier: verifies that open groups are still complete.
         """
         self._board = board
-        self._doubts = doubts
-        self._found: dict[tuple[str, int], float] = {}
+        self._verifier = verifier
+        self._found_at: dict[tuple[str, int], float] = {}
 
     def adopt(self, now: float) -> None:
-        """Take the groups that an earlier leader has formed."""
+        """Adopt each earlier leader's group once it is complete or overdue."""
         found: dict[tuple[str, int], list[BackendServer]] = {}
         for server in self._board.hosts.servers.values():
             membership = server.membership
@@ -36,15 +36,17 @@
                 key = (membership.group, membership.epoch)
                 found.setdefault(key, []).append(server)
         for key, servers in found.items():
-            since = self._found.setdefault(key, now)
-            if self._is_whole(servers) or now - since >= ADOPT_S:
-                del self._found[key]
+            since = self._found_at.setdefault(key, now)
+            if self._is_complete(servers) or now - since >= ADOPTION_WAIT_S:
+                del self._found_at[key]
                 self._adopt_group(key, servers, now)
 
-    def _is_whole(self, servers: list[BackendServer]) -> bool:
-        """Tell whether servers are all members of a group."""
+    def _is_complete(self, servers: list[BackendServer]) -> bool:
+        """Return whether servers are all the members of a group."""
         memberships = [
-            one.membership for one in servers if one.membership is not None
+            member.membership
+            for member in servers
+            if member.membership is not None
         ]
         engine = self._board.find_engine(servers[0].service)
         name = groupnames.parse_name(memberships[0].group)
@@ -52,7 +54,9 @@
             return False
         shape = engine.models.get(name.model)
         size = 1 if name.is_standby or shape is None else shape.size
-        return sorted(one.rank for one in memberships) == list(range(size))
+        return sorted(member.rank for member in memberships) == list(
+            range(size)
+        )
 
     def _adopt_group(
         self, key: tuple[str, int], servers: list[BackendServer], now: float
@@ -60,7 +64,7 @@
         name = groupnames.parse_name(key[0])
         engine = self._board.find_engine(servers[0].service)
         if name is None or engine is None:
-            self._board.hosts.cleared.add(key)
+            self._board.hosts.dissolved.add(key)
             return
         ranked = sorted(
             (server.membership.rank, server)
@@ -79,7 +83,7 @@
         )
         group.may_be_open = not name.is_standby
         self._board.groups[group.name] = group
-        self._board.note(Step.FOUND, group)
+        self._board.record_change(GroupStep.FOUND, group)
         for server in servers:
             if server.membership is not None:
                 self._board.note_membership(server.server, server.membership)
@@ -87,23 +91,23 @@
         shape = engine.models.get(name.model)
         if shape is not None:
             group.due = now + shape.load_s
-        if not self._is_whole(servers):
+        if not self._is_complete(servers):
             group.has_head = ranked[0][0] == 0
-            self._board.clear(group, "members are missing", now)
+            self._board.dissolve(group, "members are missing", now)
             return
         self._adopt_phase(group, now)
 
     def _adopt_phase(self, group: ManagedGroup, now: float) -> None:
-        """Find out where a group that was found whole stands."""
+        """Set the phase of an adopted group that is complete."""
         membership = self._board.hosts.servers[group.head].membership
         state = MemberState.JOINING if membership is None else membership.state
         if group.is_standby:
             return
         if state is MemberState.OPEN:
-            group.move(Phase.SERVING, now)
-            self._board.note(Step.SERVING, group, "found open")
-            self._doubts.doubt(group, "it was found", now)
+            group.enter(Phase.SERVING, now)
+            self._board.record_change(GroupStep.SERVING, group, "found open")
+            self._verifier.verify(group, "it was found", now)
         else:
-            # Its leader may have given it up, with orders to its members
-            # still under way that come after it would have opened.
-            self._board.clear(group, f"found {state.value}", now)
+            # Its leader may have abandoned it, and orders to its members that
+            # are still in flight may arrive after it would have opened.
+            self._board.dissolve(group, f"found {state.value}", now)
--- a/chervilrock/decisions/serving/dispatch.py
+++ b/chervilrock/decisions/serving/dispatch.py
@@ -1,4 +1,4 @@
-"""Orders and questions that are under way, so that none is given twice."""
+"""Tracking of orders and status queries in flight, so that none is doubled."""
 
 from typing import NamedTuple
 
@@ -7,74 +7,80 @@
 from chervilrock.decisions.serving.site import BackendServer
 
 
-class _Pause(NamedTuple):
-    """An order that is not given again until some time."""
+class _Delay(NamedTuple):
+    """An order that is not sent again before a given time."""
 
     order: Order
     until: float
 
 
 class Dispatcher:
-    """Gives orders and asks questions, one of a kind at a time."""
+    """Sends each server at most one order and one status query at a time."""
 
     def __init__(self) -> None:
-        """Start with nothing under way."""
+        """Create a dispatcher with nothing in flight."""
         self._pending: dict[str, Order] = {}
-        self._pauses: dict[str, _Pause] = {}
-        self._asked: dict[str, float] = {}
-        self._asking: set[str] = set()
+        self._delays: dict[str, _Delay] = {}
+        self._queried_at: dict[str, float] = {}
+        self._querying: set[str] = set()
 
     def command(
         self, server: BackendServer | None, order: Order, now: float
     ) -> list[Effect]:
-        """Give an order unless the last one is still under way."""
+        """Send an order unless it is in flight or its resend is delayed."""
         if server is None or self._pending.get(server.server) == order:
             return []
-        pause = self._pauses.get(server.server)
-        if pause is not None and pause.order == order and pause.until > now:
+        delay = self._delays.get(server.server)
+        if delay is not None and delay.order == order and delay.until > now:
             return []
         self._pending[server.server] = order
         return [Command(server, order)]
 
-    def ask(
-        self, server: BackendServer | None, pause_s: float, now: float
+    def query(
+        self, server: BackendServer | None, interval_s: float, now: float
     ) -> list[Effect]:
-        """Ask a server for its state unless it was asked just now."""
-        if server is None or server.server in self._asking:
+        """Query a server's status unless it was queried just before.
+
+        Args:
+          server: the server, None for an unknown one.
+          interval_s: least time between two queries, in seconds.
+          now: present time.
+        """
+        if server is None or server.server in self._querying:
             return []
-        if now - self._asked.get(server.server, 0.0) < pause_s:
+        if now - self._queried_at.get(server.server, 0.0) < interval_s:
             return []
-        self._asking.add(server.server)
-        self._asked[server.server] = now
+        self._querying.add(server.server)
+        self._queried_at[server.server] = now
         return [Question(server)]
 
-    def note_reply(self, server: str, order: Order) -> None:
-        """Note that an order has ended, with an answer or without."""
+    def finish_order(self, server: str, order: Order) -> None:
+        """Record that an order has ended, with or without an answer."""
         if self._pending.get(server) == order:
             del self._pending[server]
 
-    def note_report(self, server: str) -> None:
-        """Note that a question has ended, with an answer or without."""
-        self._asking.discard(server)
+    def finish_query(self, server: str) -> None:
+        """Record that a status query has ended, with or without an answer."""
+        self._querying.discard(server)
 
-    def hold(self, server: str, order: Order, until: float) -> None:
-        """Do not give an order again until some time."""
-        self._pauses[server] = _Pause(order, until)
+    def delay(self, server: str, order: Order, until: float) -> None:
+        """Delay the next send of the same order until a given time."""
+        self._delays[server] = _Delay(order, until)
 
-    def release(self, server: str) -> None:
-        """Let the next order to a server leave at once."""
-        self._pauses.pop(server, None)
+    def allow_resend(self, server: str) -> None:
+        """Remove the delay of the next order to a server."""
+        self._delays.pop(server, None)
 
     def forget(self, server: str) -> None:
-        """Forget what a server was told, since it has started again."""
+        """Reset the state of a server, since it has restarted."""
         self._pending.pop(server, None)
-        self._pauses.pop(server, None)
-        self._asked.pop(server, None)
+        self._delays.pop(server, None)
+        self._queried_at.pop(server, None)
 
-    def forget_question(self, server: str) -> None:
-        """Let the next question to a server leave at once."""
-        self._asked.pop(server, None)
+    def allow_query(self, server: str) -> None:
+        """Allow the next status query of a server at once."""
+        self._queried_at.pop(server, None)
 
-    def find_question(self, server: str, default: float) -> float:
-        """Return when a server was last asked."""
-        return self._asked.get(server, default)
+    def find_query_time(self, server: str, default: float) -> float:
+        """Return when a server was last queried, or a default."""
+        return self._queried_at.get(server, default)
--- a/chervilrock/decisions/serving/doubts.py
+++ b/chervilrock/decisions/serving/doubts.py
@@ -1,99 +1,113 @@
-"""Whether a group that seems to have stopped, or was found, is whole.
+"""Verification of groups that seem to have stalled or have been adopted.
 
-The leader asks the members. Silence of one of them means that it is lost only
-when somebody else answered meanwhile; else it may be the leader that is slow or
-cut off.
+The leader queries the members. One that does not answer counts as lost only if
+another server answered meanwhile; otherwise the leader itself may be slow or
+partitioned.
 """
 
-from chervilrock.decisions.serving.effects import Effect, Step
+from chervilrock.decisions.serving.effects import Effect, GroupStep
 from chervilrock.decisions.serving.groupboard import GroupBoard
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
-from chervilrock.decisions.serving.hosts import DARK_S
+from chervilrock.decisions.serving.hosts import UNRESPONSIVE_S
 from chervilrock.decisions.serving.orders import ServerReport
 from chervilrock.decisions.serving.site import BackendServer, MemberState
 
-ASK_S = 0.1
-"""Time between two questions whether a member is ready, or still there."""
+QUERY_INTERVAL_S = 0.1
+"""Time between two status queries of a member that joins or is verified."""
 
-FAILURES = 2
-"""Unanswered questions after which a member of a doubted group is lost, when
-nothing but its entry speaks against it; a packet may be lost. When the streams
-of the group are silent as well, one is enough: with two of them a repair took
-0.18 s longer."""
+DEFAULT_FAILURES_ALLOWED = 2
+"""Unanswered status queries after which a member of a group being verified
+counts as lost, when only an entry contradicts the group; a packet may be lost.
+When the streams of the group have stalled as well, one is enough: a second
+query delays each repair by 0.18 s."""
 
-HOPELESS_PACE = 6.0
-"""Factor on the times of a host from which its group serves nobody: an answer
-of 1.4 s takes 8 s, and callers give up. Such a group is taken apart also when
-no host stands by: while two of five hosts were twelve times slower for 9 s, 67
-callers of one model waited in vain at groups that were kept."""
+UNUSABLE_TIME_FACTOR = 6.0
+"""Time factor of a host from which its group is of no use: an answer of 1.4 s
+takes 8 s, and callers give up. Such a group is dissolved even without a standby
+host. When such groups were kept while two of five hosts were twelve times
+slower for 9 s, 67 callers of one model waited in vain."""
 
-SURE_S = 1.0
-"""Time for which a group that was found whole is not doubted again."""
+VERIFIED_S = 1.0
+"""Time for which a verified group is not verified again."""
 
 
 class Doubts:
-    """Questions to the members of groups that are doubted."""
+    """Verifies groups by querying the status of their members."""
 
     def __init__(self, *, board: GroupBoard) -> None:
-        """Doubt no group yet."""
+        """Create a verifier without groups to verify."""
         self._board = board
-        self._needs_witness = False
+        self._needs_reference = False
 
-    def doubt(
+    def verify(
         self,
         group: ManagedGroup,
         reason: str,
         now: float,
         *,
-        failures: int = FAILURES,
+        failures: int = DEFAULT_FAILURES_ALLOWED,
     ) -> None:
-        """Ask the members of a group whether they still belong to it."""
-        if group.doubted is not None or now < group.sure_until:
+        """Begin to verify that the members of a group still belong to it.
+
+        Args:
+          group: the group.
+          reason: why it is verified, for the log.
+          now: present time.
+          failures: unanswered status queries after which a member is lost.
+        """
+        if group.doubted is not None or now < group.verified_until:
             return
         group.doubted = now
         group.failures = {}
         group.failures_allowed = failures
         group.awaited = set(group.members)
         for server in group.members:
-            self._board.dispatcher.forget_question(server)
-        self._board.note(Step.DOUBTED, group, reason)
+            self._board.dispatcher.allow_query(server)
+        self._board.record_change(GroupStep.VERIFYING, group, reason)
 
-    def judge(
+    def apply_report(
         self,
         group: ManagedGroup,
         server: str,
         report: ServerReport | None,
         now: float,
     ) -> None:
-        """Take the answer of a member of a doubted group."""
+        """Apply the answer of a member of a group that is being verified.
+
+        Args:
+          group: the group.
+          server: the member.
+          report: its state, None when it did not answer.
+          now: present time.
+        """
         if report is None:
-            asked = self._board.dispatcher.find_question(server, now)
-            if self._board.hosts.answered < asked:
-                # Nobody answered meanwhile, so it may be this node that is
-                # slow or cut off.
-                self._board.dispatcher.forget_question(server)
-                self._needs_witness = True
+            queried_at = self._board.dispatcher.find_query_time(server, now)
+            if self._board.hosts.last_report_at < queried_at:
+                # No server answered meanwhile, so this node may be slow or
+                # partitioned.
+                self._board.dispatcher.allow_query(server)
+                self._needs_reference = True
                 return
             failures = group.failures.get(server, 0) + 1
             group.failures[server] = failures
-            self._board.dispatcher.forget_question(server)
+            self._board.dispatcher.allow_query(server)
             if failures >= group.failures_allowed:
-                self._board.hosts.note_dark(server, now)
-                self._board.clear(group, f"{server} does not answer", now)
+                self._board.hosts.record_unresponsive(server, now)
+                self._board.dissolve(group, f"{server} does not answer", now)
             return
         membership = report.membership
         if membership is None or membership.epoch != group.epoch:
-            self._board.clear(group, f"{server} is not a member", now)
+            self._board.dissolve(group, f"{server} is not a member", now)
         elif membership.state is MemberState.BROKEN:
-            self._board.clear(group, f"{server} reports it broken", now)
+            self._board.dissolve(group, f"{server} reports it broken", now)
         elif self._is_too_slow(group, server, report, now):
-            self._board.clear(group, f"{server} is slow", now)
+            self._board.dissolve(group, f"{server} is slow", now)
         else:
             group.awaited.discard(server)
             if not group.awaited:
                 group.doubted = None
-                group.sure_until = now + SURE_S
-                self._board.note(Step.CONFIRMED, group)
+                group.verified_until = now + VERIFIED_S
+                self._board.record_change(GroupStep.CONFIRMED, group)
 
     def _is_too_slow(
         self,
@@ -102,44 +116,48 @@
         report: ServerReport,
         now: float,
     ) -> bool:
-        """Tell whether a group is better without a slow member, or gone."""
-        if report.pace >= HOPELESS_PACE:
+        """Return whether a member is so slow that its group is dissolved."""
+        if report.pace >= UNUSABLE_TIME_FACTOR:
             return True
         return self._board.hosts.is_slow(server, now) and self._has_standby(
             group, now
         )
 
     def _has_standby(self, group: ManagedGroup, now: float) -> bool:
-        """Tell whether a host can take the place of one of a group."""
-        home = self._board.hosts.servers.get(group.head)
-        for other in self._board.groups.values():
-            if other.phase is not Phase.STANDBY or other.model != group.model:
+        """Return whether a standby host can replace a member of a group."""
+        head = self._board.hosts.servers.get(group.head)
+        for standby in self._board.groups.values():
+            if (
+                standby.phase is not Phase.STANDBY
+                or standby.model != group.model
+            ):
                 continue
-            host = self._board.hosts.servers.get(other.head)
-            if host is None or home is None or host.domain != home.domain:
+            host = self._board.hosts.servers.get(standby.head)
+            if host is None or head is None or host.domain != head.domain:
                 continue
-            if not self._board.hosts.is_slow(other.head, now):
+            if not self._board.hosts.is_slow(standby.head, now):
                 return True
         return False
 
-    def ask_witness(self, now: float) -> list[Effect]:
-        """Ask a head that nobody doubts, when none of the doubted answers.
+    def query_reference_head(self, now: float) -> list[Effect]:
+        """Query a head of another group when no member being verified answers.
 
-        Its answer tells a domain that went dark from a leader that is cut off.
+        Its answer distinguishes an unresponsive domain from a partitioned
+        leader.
         """
-        if not self._needs_witness:
+        if not self._needs_reference:
             return []
-        self._needs_witness = False
+        self._needs_reference = False
         for group in self._board.groups.values():
             if group.phase is Phase.SERVING and group.doubted is None:
-                return self._board.ask(group.head, ASK_S, now)
+                return self._board.query(group.head, QUERY_INTERVAL_S, now)
         return []
 
     def contradicts(
         self, group: ManagedGroup, entry: BackendServer, now: float
     ) -> bool:
-        """Tell whether an entry denies a membership that has settled."""
-        if now - group.since < DARK_S:
+        """Return whether an entry contradicts an established membership."""
+        if now - group.since < UNRESPONSIVE_S:
             return False
         membership = entry.membership
         if membership is None or membership.epoch != group.epoch:
--- a/chervilrock/decisions/serving/effects.py
+++ b/chervilrock/decisions/serving/effects.py
@@ -1,4 +1,4 @@
-"""What the leader wants done, and notes for the log."""
+"""Actions that the leader requests, and group changes for the log."""
 
 import enum
 from typing import NamedTuple
@@ -8,43 +8,43 @@
 
 
 class Command(NamedTuple):
-    """Give an order to a server."""
+    """An order to send to a server."""
 
     server: BackendServer
     order: Order
 
 
 class Question(NamedTuple):
-    """Ask a server for its state."""
+    """A query of a server's status."""
 
     server: BackendServer
 
 
-class Step(enum.Enum):
-    """What happened to a group."""
+class GroupStep(enum.Enum):
+    """Kinds of changes of a group; the values appear in the log."""
 
     PLANNED = "planned"
     FOUND = "found"
     READY = "ready"
     SERVING = "serving"
-    DOUBTED = "doubted"
+    VERIFYING = "doubted"
     CONFIRMED = "confirmed"
     CLOSING = "closing"
     CLEARING = "clearing"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class GroupNote(NamedTuple):
     """A change of a group for the log.
 
     Attributes:
-      step: what happened.
+      step: kind of the change.
       group: name of the group.
       members: its servers.
-      reason: what decided it.
+      reason: why the group changed.
     """
 
-    step: Step
+    step: GroupStep
     group: str
     members: tuple[str, ...]
     reason: str
--- a/chervilrock/decisions/serving/forming.py
+++ b/chervilrock/decisions/serving/forming.py
@@ -1,8 +1,8 @@
-"""Groups on their way from a plan to their first request."""
+"""Formation of groups, from the plan to the first request."""
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.doubts import ASK_S
-from chervilrock.decisions.serving.effects import Effect, Step
+from chervilrock.decisions.serving.doubts import QUERY_INTERVAL_S
+from chervilrock.decisions.serving.effects import Effect, GroupStep
 from chervilrock.decisions.serving.groupboard import GroupBoard
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.orders import Join, Open, OrderReply
@@ -16,38 +16,38 @@
 from chervilrock.decisions.serving.site import EngineProfile
 
 JOIN_S = 0.2
-"""Time of a join when the weights are in memory."""
+"""Duration of a join when the weights are in memory."""
 
-FORM_LIMIT_S = 6.0
-"""Time beyond the expected one after which a formation is given up."""
+FORM_TIMEOUT_S = 6.0
+"""Time beyond the expected one after which a formation is abandoned."""
 
 
 class Forming:
-    """Lets hosts join groups, and opens the groups that are ready."""
+    """Orders hosts to join groups, and opens the groups that are ready."""
 
     def __init__(
         self, *, board: GroupBoard, planner: Planner, term: int
     ) -> None:
-        """Have formed nothing in a term.
+        """Create the formation of groups in a term.
 
         Args:
-          board: where the groups go.
-          planner: knows how long loads take, and how many there may be.
-          term: the term; epochs begin with it.
+          board: registry that receives the groups.
+          planner: estimates the duration of loads, and limits their number.
+          term: the term, from which the epochs are derived.
         """
         self._board = board
         self._planner = planner
         self._term = term
-        self._number = 0
+        self._last_number = 0
 
-    def note_join(
+    def handle_join_reply(
         self,
         group: ManagedGroup,
         server: str,
         reply: OrderReply | None,
         now: float,
     ) -> None:
-        """Take the answer to an order to join."""
+        """Apply the answer to an order to join, None when there was none."""
         if reply is OrderReply.CONFLICT:
             self._board.hosts.obeyed.pop(server, None)
         if reply is OrderReply.DONE:
@@ -57,16 +57,16 @@
             group.joined.add(server)
             self._board.hosts.note_joined(server)
             order = Join(group.name, group.epoch, group.model, group.members)
-            until = max(group.due, now + ASK_S)
-            self._board.dispatcher.hold(server, order, until)
+            delayed_until = max(group.due, now + QUERY_INTERVAL_S)
+            self._board.dispatcher.delay(server, order, delayed_until)
         elif reply in (OrderReply.STALE, OrderReply.MISDIRECTED):
             reason = f"{server} refused to join: {reply.value}"
-            self._board.clear(group, reason, now)
+            self._board.dissolve(group, reason, now)
 
-    def note_open(
+    def handle_open_reply(
         self, group: ManagedGroup, reply: OrderReply | None, now: float
     ) -> None:
-        """Take the answer to an order to open."""
+        """Apply the answer to an order to open, None when there was none."""
         if group.phase is not Phase.OPENING:
             return
         if reply in (OrderReply.STARTED, OrderReply.DONE):
@@ -74,24 +74,24 @@
             form_s = 0.0 if engine is None else engine.form_s
             group.served_at = now + form_s
             group.joined.clear()
-            group.move(Phase.SERVING, now)
-            self._board.note(Step.SERVING, group)
+            group.enter(Phase.SERVING, now)
+            self._board.record_change(GroupStep.SERVING, group)
         elif reply in (OrderReply.STALE, OrderReply.MISDIRECTED):
-            self._board.clear(
+            self._board.dissolve(
                 group, f"its head refused to open: {reply.value}", now
             )
 
     def form(self, group: ManagedGroup, now: float) -> list[Effect]:
-        """Return what a group needs whose members join."""
-        if self._clear_unless_present(group, now):
+        """Return the effects for a group whose members are joining."""
+        if self._dissolve_unless_available(group, now):
             return []
-        if now - group.due > FORM_LIMIT_S:
-            self._board.clear(group, "it was not ready in time", now)
+        if now - group.due > FORM_TIMEOUT_S:
+            self._board.dissolve(group, "it was not ready in time", now)
             return []
         if group.ready.issuperset(group.members):
             phase = Phase.STANDBY if group.is_standby else Phase.OPENING
-            group.move(phase, now)
-            self._board.note(Step.READY, group)
+            group.enter(phase, now)
+            self._board.record_change(GroupStep.READY, group)
             return [] if group.is_standby else self.open(group, now)
         effects: list[Effect] = []
         for server in group.members:
@@ -99,49 +99,56 @@
                 effects += self._order_join(group, server, now)
         return effects
 
-    def _clear_unless_present(self, group: ManagedGroup, now: float) -> bool:
-        """Take a group apart that cannot have a member; tell whether it is."""
+    def _dissolve_unless_available(
+        self, group: ManagedGroup, now: float
+    ) -> bool:
+        """Dissolve a group if a member is unavailable; return whether it is."""
         for server in group.members:
             entry = self._board.hosts.servers.get(server)
             if entry is None or entry.is_leaving:
-                self._board.clear(group, f"{server} is gone or leaves", now)
+                self._board.dissolve(group, f"{server} is gone or leaves", now)
                 return True
-            if server not in group.joined and self._is_taken(group, server):
-                self._board.clear(group, f"{server} is in another group", now)
+            if server not in group.joined and self._is_in_other_group(
+                group, server
+            ):
+                self._board.dissolve(
+                    group, f"{server} is in another group", now
+                )
                 return True
         return False
 
-    def _is_taken(self, group: ManagedGroup, server: str) -> bool:
-        """Tell whether a server has told that it is in another group."""
-        reported = self._board.hosts.find_reported(server)
+    def _is_in_other_group(self, group: ManagedGroup, server: str) -> bool:
+        """Return whether a server has reported that it is in another group."""
+        reported = self._board.hosts.find_reported_membership(server)
         return reported is not None and reported.epoch != group.epoch
 
     def _order_join(
         self, group: ManagedGroup, server: str, now: float
     ) -> list[Effect]:
-        """Order a host to join, until it answers that this is done.
+        """Order a host to join, until it answers that the join is done.
 
-        The answer to a join that is done tells at once that the host is
-        ready; its report tells it 0.2 to 0.3 s later.
+        The order is repeated because its answer shows at once that the host is
+        ready; the report shows it 0.2 to 0.3 s later.
 
-        A host may have obeyed an order of a former leader since its report,
-        or a late one to join its former group, whose head then serves with
-        it. So its first join holds only if it has obeyed nothing since.
+        Since its report, a host may have executed an order of a former leader,
+        or a late one to join its former group, whose head then serves with it.
+        So its first join is conditional on the number of orders that it has
+        executed.
         """
         join = Join(group.name, group.epoch, group.model, group.members)
-        if not self._board.hosts.must_be_unchanged(server):
+        if not self._board.hosts.needs_conditional_join(server):
             return self._board.command(server, join, now)
         obeyed = self._board.hosts.obeyed.get(server)
         if obeyed is None:
-            return self._board.ask(server, ASK_S, now)
+            return self._board.query(server, QUERY_INTERVAL_S, now)
         return self._board.command(server, join._replace(expected=obeyed), now)
 
     def open(self, group: ManagedGroup, now: float) -> list[Effect]:
-        """Return what a group needs whose members are ready."""
-        if self._clear_unless_present(group, now):
+        """Return the effects for a group whose members are ready."""
+        if self._dissolve_unless_available(group, now):
             return []
-        if now - group.since > FORM_LIMIT_S:
-            self._board.clear(group, "its head did not open", now)
+        if now - group.since > FORM_TIMEOUT_S:
+            self._board.dissolve(group, "its head did not open", now)
             return []
         group.may_be_open = True
         return self._board.command(
@@ -155,7 +162,7 @@
         formation: Formation,
         now: float,
     ) -> list[Effect]:
-        """Begin to form a group."""
+        """Begin to form a group according to the plan."""
         return self._start(
             service, engine, formation.model, formation.members, False, now
         )
@@ -167,7 +174,7 @@
         preparation: Preparation,
         now: float,
     ) -> list[Effect]:
-        """Let a host load a model, as the weight store allows."""
+        """Let a standby host load a model if the weight store has capacity."""
         if preparation.needs_load and not self._planner.take_load(engine, now):
             return []
         members = (preparation.server,)
@@ -183,11 +190,11 @@
         is_standby: bool,
         now: float,
     ) -> list[Effect]:
-        """Begin to form a group, or a standby host."""
+        """Begin to form a group, or a group of a single standby host."""
         for server in members:
             self._end_standby(server)
-        self._number += 1
-        epoch = groupnames.make_epoch(self._term, self._number)
+        self._last_number += 1
+        epoch = groupnames.make_epoch(self._term, self._last_number)
         group = ManagedGroup(
             name=groupnames.make_name(model, epoch, is_standby=is_standby),
             epoch=epoch,
@@ -198,26 +205,31 @@
             phase=Phase.FORMING,
             now=now,
         )
-        expected = max(
-            self._expect_join(engine, model, server) for server in members
+        expected_s = max(
+            self._estimate_join_s(engine, model, server) for server in members
         )
-        group.due = now + expected
+        group.due = now + expected_s
         for server in members:
             self._board.hosts.loaded.pop(server, None)
         self._board.groups[group.name] = group
-        self._board.note(Step.PLANNED, group, f"ready in {expected:.1f} s")
+        self._board.record_change(
+            GroupStep.PLANNED, group, f"ready in {expected_s:.1f} s"
+        )
         return self.form(group, now)
 
     def _end_standby(self, server: str) -> None:
-        """Take a host out of its stand-by; its head never opened."""
+        """End the standby of a host.
+
+        Its group can be removed at once, since it was never opened.
+        """
         for group in list(self._board.groups.values()):
             if group.phase is Phase.STANDBY and group.head == server:
                 self._board.remove(group)
 
-    def _expect_join(
+    def _estimate_join_s(
         self, engine: EngineProfile, model: str, server: str
     ) -> float:
-        """Return the time until a host is ready, in seconds."""
+        """Return the expected time until a host is ready, in seconds."""
         shape = engine.models[model]
         host = FreeHost(
             server=server,
--- a/chervilrock/decisions/serving/groupboard.py
+++ b/chervilrock/decisions/serving/groupboard.py
@@ -1,7 +1,7 @@
-"""The groups that a leader handles, and what it needs to handle them."""
+"""Registry of the groups that a leader manages, with their shared state."""
 
 from chervilrock.decisions.serving.dispatch import Dispatcher
-from chervilrock.decisions.serving.effects import Effect, GroupNote, Step
+from chervilrock.decisions.serving.effects import Effect, GroupNote, GroupStep
 from chervilrock.decisions.serving.groups import (
     ManagedGroup,
     Phase,
@@ -21,45 +21,47 @@
     """Groups, hosts and orders of a leader, shared by its decisions.
 
     Attributes:
-      hosts: what is known of the servers.
-      dispatcher: orders and questions that are under way.
+      hosts: registry of the servers.
+      dispatcher: orders and status queries in flight.
       groups: groups by name.
       configuration: the configuration in force, None before the first.
     """
 
     def __init__(self) -> None:
-        """Know no group."""
+        """Create an empty registry."""
         self.hosts = HostBook()
         self.dispatcher = Dispatcher()
         self.groups: dict[str, ManagedGroup] = {}
         self.configuration: SiteConfiguration | None = None
-        self._notes: list[GroupNote] = []
+        self._changes: list[GroupNote] = []
 
     def find_engine(self, service: str) -> EngineProfile | None:
-        """Return how the engines of a service work, None for a plain one."""
+        """Return the engine profile of a service, None for a plain one."""
         if self.configuration is None:
             return None
         known = self.configuration.services.get(service)
         return None if known is None else known.engine
 
     def is_unknown_member(self, host: BackendServer) -> bool:
-        """Tell whether a host is in a group that was not looked at yet."""
+        """Return whether a host may be in an open group not yet adopted."""
         membership = host.membership
         if membership is None or membership.group in self.groups:
             return False
-        return self.hosts.is_unknown_member(host)
+        return self.hosts.may_be_in_open_group(host)
 
-    def note(self, step: Step, group: ManagedGroup, reason: str = "") -> None:
-        """Note a change of a group for the log."""
-        self._notes.append(GroupNote(step, group.name, group.members, reason))
+    def record_change(
+        self, step: GroupStep, group: ManagedGroup, reason: str = ""
+    ) -> None:
+        """Record a change of a group for the log."""
+        self._changes.append(GroupNote(step, group.name, group.members, reason))
 
-    def take_notes(self) -> list[GroupNote]:
-        """Return the notes since the last call."""
-        notes, self._notes = self._notes, []
-        return notes
+    def take_changes(self) -> list[GroupNote]:
+        """Return and clear the changes since the last call."""
+        changes, self._changes = self._changes, []
+        return changes
 
     def note_membership(self, server: str, membership: Membership) -> None:
-        """Take the membership that a server tells of."""
+        """Record a membership that a server reports or has in its entry."""
         group = self.groups.get(membership.group)
         if group is None or group.epoch != membership.epoch:
             return
@@ -68,27 +70,27 @@
             self.hosts.loaded[server] = group.model
 
     def command(self, server: str, order: Order, now: float) -> list[Effect]:
-        """Give an order unless it is under way."""
+        """Send an order unless it is in flight or its resend is delayed."""
         return self.dispatcher.command(self.hosts.find(server), order, now)
 
-    def ask(self, server: str, pause_s: float, now: float) -> list[Effect]:
-        """Ask a server for its state unless it was asked just now."""
-        return self.dispatcher.ask(self.hosts.find(server), pause_s, now)
+    def query(self, server: str, interval_s: float, now: float) -> list[Effect]:
+        """Query a server's status unless it was queried just before."""
+        return self.dispatcher.query(self.hosts.find(server), interval_s, now)
 
-    def clear(self, group: ManagedGroup, reason: str, now: float) -> None:
-        """Begin to take a group apart."""
+    def dissolve(self, group: ManagedGroup, reason: str, now: float) -> None:
+        """Begin to dissolve a group."""
         if group.phase is Phase.CLEARING:
             return
-        group.move(Phase.CLEARING, now, reason)
+        group.enter(Phase.CLEARING, now, reason)
         group.failures = {}
         group.awaited = set(group.members)
         for server in group.members:
-            self.dispatcher.release(server)
-        self.note(Step.CLEARING, group, reason)
+            self.dispatcher.allow_resend(server)
+        self.record_change(GroupStep.CLEARING, group, reason)
 
     def remove(self, group: ManagedGroup) -> None:
-        """Forget a group that was taken apart."""
+        """Remove a group that was dissolved or a standby that has ended."""
         if group.head_out or not group.may_be_open:
-            self.hosts.cleared.add((group.name, group.epoch))
+            self.hosts.dissolved.add((group.name, group.epoch))
         self.groups.pop(group.name, None)
-        self.note(Step.GONE, group, group.reason)
+        self.record_change(GroupStep.REMOVED, group, group.reason)
--- a/chervilrock/decisions/serving/groupnames.py
+++ b/chervilrock/decisions/serving/groupnames.py
@@ -1,6 +1,6 @@
-"""Names of groups tell their model, so that a new leader need not ask.
+"""Group names, which include the model so that a new leader need not query it.
 
-The servers' entries tell the name, epoch and rank of each member, but neither
+The servers' entries hold the name, epoch and rank of each member, but neither
 the model nor the size of the group.
 """
 
@@ -12,15 +12,15 @@
 _PARTS = 3
 
 EPOCHS_PER_TERM = 100_000
-"""Epochs that one leader may use; some thousand are used in an hour."""
+"""Epochs that one leader may use; it uses some thousand an hour."""
 
 
 class GroupName(NamedTuple):
-    """What a name tells.
+    """The parts of a group's name.
 
     Attributes:
       model: model of the group.
-      is_standby: whether it is a single host that only holds the weights.
+      is_standby: whether it is a single standby host with the weights loaded.
     """
 
     model: str
@@ -34,7 +34,7 @@
 
 
 def parse_name(name: str) -> GroupName | None:
-    """Return what a name tells, None for a name of another program."""
+    """Return the parts of a name, None for a name of another program."""
     parts = name.split(_SEPARATOR, _PARTS - 1)
     if len(parts) != _PARTS or parts[0] not in (_SERVING, _STANDBY):
         return None
--- a/chervilrock/decisions/serving/groups.py
+++ b/chervilrock/decisions/serving/groups.py
@@ -1,4 +1,4 @@
-"""A replica group under the hands of the leader."""
+"""State of a replica group as its leader manages it."""
 
 import enum
 
@@ -6,15 +6,15 @@
 
 
 class Phase(enum.Enum):
-    """Where a group stands.
+    """Phase of a group's life cycle.
 
     Attributes:
-      FORMING: its members were told to join.
-      OPENING: all members were seen ready; its head was told to open.
-      SERVING: its head takes requests.
-      CLOSING: its head finishes what it has.
-      CLEARING: its head was told to leave.
-      STANDBY: a single host that holds the weights.
+      FORMING: its members were ordered to join.
+      OPENING: all members reported ready; its head was ordered to open.
+      SERVING: its head accepts requests.
+      CLOSING: its head drains its requests.
+      DISSOLVING: its head, or each member, was ordered to leave.
+      STANDBY: a single host with the weights loaded.
     """
 
     FORMING = "forming"
@@ -26,7 +26,7 @@
 
 
 class ManagedGroup:
-    """A group and what is known of its members.
+    """A group and the known state of its members.
 
     Attributes:
       name: name of the group.
@@ -34,24 +34,28 @@
       model: its model.
       service: its service.
       members: servers, the head first.
-      is_standby: whether it is a single host that stands by.
-      phase: where it stands.
+      is_standby: whether it is a single standby host.
+      phase: its current phase.
       since: when the phase began.
-      ready: members that were seen ready under this epoch.
-      joined: members that have answered to the order to join.
-      awaited: members of a doubted group that have not confirmed their
-        membership, or of one that is cleared that may still be in it.
+      ready: members that reported ready under this epoch.
+      joined: members that have accepted the order to join.
+      awaited: while the group is being verified, members that have not
+        confirmed their membership; while it is being dissolved, members that
+        may still be in it.
       due: when the members should be ready.
-      doubted: when it was found to be silent, None when it was not.
-      sure_until: until when it is not doubted again.
-      failures_allowed: unanswered questions after which a member is lost.
-      failures: unanswered questions to each member since it was doubted.
-      reason: why it closes or is cleared.
-      head_out: whether the head is known to be out of the group.
-      has_head: whether the first member is the head; a group that was found
-        may have lost it.
-      may_be_open: whether its head may have been told to open.
-      served_at: when it began to serve.
+      verifying_since: when its verification began, None when it is not being
+        verified.
+      verified_until: until when it is not verified again.
+      failures_allowed: unanswered status queries after which a member counts
+        as lost.
+      failures: by member, unanswered status queries since the verification
+        began; while it is being dissolved, unanswered orders to leave.
+      reason: why it is closing or being dissolved.
+      head_out: whether the head is known to have left the group.
+      has_head: whether the first member is the head; a group adopted from an
+        earlier leader may have lost it.
+      may_be_open: whether its head may have been ordered to open.
+      served_at: from when it accepts requests.
     """
 
     def __init__(
@@ -66,7 +70,7 @@
         phase: Phase,
         now: float,
     ) -> None:
-        """Take the members of a group that is new or was found."""
+        """Create the record of a new or an adopted group."""
         self.name = name
         self.epoch = epoch
         self.model = model
@@ -80,7 +84,7 @@
         self.awaited: set[str] = set()
         self.due = now
         self.doubted: float | None = None
-        self.sure_until = now
+        self.verified_until = now
         self.failures_allowed = 1
         self.failures: dict[str, int] = {}
         self.reason = ""
@@ -91,11 +95,11 @@
 
     @property
     def head(self) -> str:
-        """The server that gets the requests."""
+        """The server that receives the requests."""
         return self.members[0]
 
-    def move(self, phase: Phase, now: float, reason: str = "") -> None:
-        """Go on to a phase."""
+    def enter(self, phase: Phase, now: float, reason: str = "") -> None:
+        """Enter a phase."""
         self.phase = phase
         self.since = now
         self.reason = reason or self.reason
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -1,7 +1,7 @@
-"""What the leader knows of the servers, from their entries and their reports.
+"""State of the servers, from their entries in the store and their reports.
 
-Entries may be old, so what a server reported itself outweighs an older entry,
-and nothing is done with a host that has not reported in this term.
+Entries may be stale, so a server's own report takes precedence over an older
+entry, and a host gets no group before it has reported in this term.
 """
 
 import enum
@@ -14,34 +14,36 @@
     MemberState,
 )
 
-SLOW_PACE = 2.0
-"""Factor on the times of a server from which it counts as slow. A group runs
-at the pace of its slowest host, and a group that is twice as slow misses the
-longest pause that counts as on time."""
+SLOW_TIME_FACTOR = 2.0
+"""Time factor from which a server counts as slow. A group is as slow as its
+slowest host, and a group that takes twice as long exceeds the longest pause
+between events that counts as on time."""
 
-SLOW_S = 6.0
-"""Time for which a slow server gets no new group; then it is asked again."""
+SLOW_EXCLUSION_S = 6.0
+"""Time for which a slow server gets no new group; its status is then queried
+again."""
 
-SLOW_SPELL_S = 8.0
-"""Time after a slow server was seen for which others may be slow as well."""
+SLOW_PERIOD_S = 8.0
+"""Time after a report of a slow server during which others may be slow too."""
 
-FRESH_S = 2.0
-"""Age up to which a report tells the pace of a server."""
+FRESH_REPORT_S = 2.0
+"""Age up to which the time factor in a report counts as current."""
 
-DARK_S = 2.0
-"""Time for which a server that does not answer gets no new group."""
+UNRESPONSIVE_S = 2.0
+"""Time for which an unresponsive server gets no new group."""
 
-REPORT_AGE_S = 0.6
-"""Greatest age of a report; servers tell some hundred milliseconds."""
+MAX_REPORT_AGE_S = 0.6
+"""Greatest age of a report; servers answer a status query with a state that
+is some hundred milliseconds old."""
 
 
 class Life(enum.Enum):
-    """Which start of a server something tells of.
+    """How the incarnation in a message relates to the known one of its server.
 
     Attributes:
-      SAME: the one that is known.
-      NEW: a later one.
-      FORMER: an earlier one, so that it says nothing of the server now.
+      SAME: it is the known one.
+      NEW: it is a later one.
+      FORMER: it is an earlier one, so the message is out of date.
     """
 
     SAME = "same"
@@ -50,54 +52,54 @@
 
 
 class HostBook:
-    """Servers, what they hold, and which of them may join a group.
+    """Registry of servers, their models, and which may join a group.
 
     Attributes:
-      servers: servers whose entries are there.
-      loaded: model that each server has in memory, as far as it is known.
-      cleared: groups whose heads are out, by name and epoch.
-      obeyed: orders that a server had obeyed when it last reported, unless it
-        was told anything since.
-      last_new: when the last new server came.
-      began: when the first entry came.
-      answered: when any server last reported.
+      servers: servers that have an entry.
+      loaded: model that each server has in memory, where known.
+      dissolved: groups whose heads have left, as pairs of name and epoch.
+      obeyed: number of orders that a server had executed when it last
+        reported; absent if it may have executed another one since.
+      last_added_at: when the last new server was added.
+      first_entry_at: when the first entry was received.
+      last_report_at: when any server last reported.
     """
 
     def __init__(self) -> None:
-        """Know no server."""
+        """Create an empty registry."""
         self.servers: dict[str, BackendServer] = {}
         self.loaded: dict[str, str] = {}
-        self.cleared: set[tuple[str, int]] = set()
+        self.dissolved: set[tuple[str, int]] = set()
         self.obeyed: dict[str, int] = {}
         self.last_new = float("-inf")
-        self.began = float("inf")
-        self.answered = float("-inf")
+        self.first_entry_at = float("inf")
+        self.last_report_at = float("-inf")
         self._former: dict[str, BackendServer] = {}
-        self._heard_of: set[str] = set()
+        self._reporting: set[str] = set()
         self._joined: set[str] = set()
         self._reported: dict[str, Membership | None] = {}
         self._left: set[tuple[str, int]] = set()
         self._left_at: dict[str, float] = {}
-        self._dark: dict[str, float] = {}
-        self._slow: dict[str, float] = {}
+        self._unresponsive: dict[str, float] = {}
+        self._slow_until: dict[str, float] = {}
         self._born: dict[str, int] = {}
         self._unanswered: set[str] = set()
         self._reported_at: dict[str, float] = {}
-        self._slow_seen = float("-inf")
+        self._slow_seen_at = float("-inf")
 
-    def note_life(self, server: str, born: int) -> "Life":
-        """Note which start of a server something tells of.
+    def record_incarnation(self, server: str, born: int) -> "Life":
+        """Record the incarnation in a message and compare it to the known one.
 
-        A server that starts again under its identifier holds nothing, so all
-        that was known of it is forgotten. What it told before was taken for
-        newer than its first entry, and it was counted as a member of a group
-        that it no longer knew.
+        A server that restarts under its identifier has no state, so its record
+        is reset. Otherwise its earlier report would count as newer than the
+        first entry of the new incarnation, and the server as a member of a
+        group that it no longer knows.
         """
         known = self._born.get(server, 0)
         if not known:
             self._born[server] = born
         if not known or born in (known, 0):
-            # What does not tell of a start says nothing against the known one.
+            # A message without an incarnation does not contradict it.
             return Life.SAME
         if born < known:
             return Life.FORMER
@@ -106,29 +108,31 @@
         return Life.NEW
 
     def _forget(self, server: str) -> None:
-        """Know nothing of a server but that it exists."""
-        self._heard_of.discard(server)
+        """Reset all state of a server except that it exists."""
+        self._reporting.discard(server)
         self._joined.discard(server)
         self.loaded.pop(server, None)
         self.obeyed.pop(server, None)
         self._unanswered.discard(server)
-        for times in (self._left_at, self._dark, self._slow):
+        for times in (self._left_at, self._unresponsive, self._slow_until):
             times.pop(server, None)
         self._reported.pop(server, None)
-        self._left = {one for one in self._left if one[0] != server}
+        self._left = {left for left in self._left if left[0] != server}
         entry = self.servers.get(server)
         if entry is not None:
             self.servers[server] = entry._replace(membership=None)
 
     def find(self, server: str) -> BackendServer | None:
-        """Return a server, also one whose entry was removed."""
+        """Return a server, including one whose entry was removed."""
         return self.servers.get(server) or self._former.get(server)
 
-    def take_entry(self, entry: BackendServer, now: float) -> Membership | None:
-        """Take the entry of a server and return its membership."""
+    def apply_entry(
+        self, entry: BackendServer, now: float
+    ) -> Membership | None:
+        """Apply the entry of a server and return its membership."""
         if entry.server not in self.servers:
             self.last_new = now
-        self.began = min(self.began, now)
+        self.first_entry_at = min(self.first_entry_at, now)
         corrected = self._correct(entry)
         self.servers[entry.server] = corrected
         membership = corrected.membership
@@ -139,29 +143,29 @@
             self.loaded[entry.server] = name.model
         return membership
 
-    def take_gone(self, server: str) -> None:
-        """Take that the entry of a server was removed."""
-        gone = self.servers.pop(server, None)
-        if gone is not None:
-            self._former[server] = gone
+    def remove_entry(self, server: str) -> None:
+        """Apply the removal of a server's entry."""
+        removed = self.servers.pop(server, None)
+        if removed is not None:
+            self._former[server] = removed
 
-    def take_report(
+    def apply_report(
         self, server: str, report: ServerReport, now: float
     ) -> bool:
-        """Take the state of a server.
+        """Apply the report of a server.
 
         Returns:
-          Whether the server is in a group again that it had left.
+          Whether the server has rejoined a group that it had left.
         """
-        self.answered = now
+        self.last_report_at = now
         self._unanswered.discard(server)
         self._reported_at[server] = now
-        if report.pace >= SLOW_PACE:
-            self._slow[server] = now + SLOW_S
-            self._slow_seen = now
+        if report.pace >= SLOW_TIME_FACTOR:
+            self._slow_until[server] = now + SLOW_EXCLUSION_S
+            self._slow_seen_at = now
         else:
-            self._slow.pop(server, None)
-        self._heard_of.add(server)
+            self._slow_until.pop(server, None)
+        self._reporting.add(server)
         self._reported[server] = report.membership
         entry = self.servers.get(server)
         if entry is not None:
@@ -171,107 +175,110 @@
         return self._has_rejoined(server, report, now)
 
     def note_left(self, server: str, epoch: int, now: float) -> None:
-        """Note that a server has confirmed that it left a group."""
+        """Record that a server has confirmed that it left a group."""
         self._left.add((server, epoch))
         self._left_at[server] = now
 
     def note_head_out(self, members: tuple[str, ...]) -> None:
-        """Note that the head of a group is out; its members are free."""
+        """Record that the head of a group has left; its members are free."""
         for member in members:
             self._left_at.pop(member, None)
 
     def note_joined(self, server: str) -> None:
-        """Note that a server has obeyed an order to join."""
-        self._heard_of.add(server)
+        """Record that a server has executed an order to join."""
+        self._reporting.add(server)
         self._joined.add(server)
         self._left_at.pop(server, None)
         self.obeyed.pop(server, None)
 
-    def note_ordered(self, server: str) -> None:
-        """Note that a server may have obeyed an order other than to join."""
+    def record_order(self, server: str) -> None:
+        """Record that a server may have executed an order other than a join."""
         self.obeyed.pop(server, None)
 
-    def must_be_unchanged(self, server: str) -> bool:
-        """Tell whether a server may join only if it has obeyed nothing since.
+    def needs_conditional_join(self, server: str) -> bool:
+        """Return whether a join must depend on the server's order count.
 
-        An order of a former leader, or a late one to join its former group,
-        may reach it after its report. Once it has joined a group of this term
-        it refuses those of earlier terms.
+        An order of a former leader, or a late order to join its former group,
+        may reach the server after its report. Once it has joined a group of
+        this term, it rejects orders of earlier terms.
         """
         return server in self._left_at or server not in self._joined
 
-    def note_dark(self, server: str, now: float) -> None:
-        """Note that a server is lost; it is used again once it has reported.
+    def record_unresponsive(self, server: str, now: float) -> None:
+        """Record that a server is unresponsive; it is unused until it reports.
 
-        Its entry stays for some seconds, and a group that it was put into
-        after a while had to be cleared again.
+        Its entry remains for some seconds. A new group with such a server as a
+        member would have to be dissolved again.
         """
-        self._dark[server] = now + DARK_S
-        self._heard_of.discard(server)
+        self._unresponsive[server] = now + UNRESPONSIVE_S
+        self._reporting.discard(server)
         self._unanswered.add(server)
 
     def note_unanswered(self, server: str) -> None:
-        """Note that a server gave no answer to a question."""
+        """Record that a server did not answer a status query."""
         self._unanswered.add(server)
-        self._heard_of.discard(server)
+        self._reporting.discard(server)
 
     def may_be_slow(self, server: str, now: float) -> bool:
-        """Tell whether a server has to be asked for its pace.
+        """Return whether a server's time factor has to be queried before use.
 
-        Slow hosts come many at a time. While some are seen, one that has not
-        reported lately is as likely as not to make its next group slow, which
-        takes two seconds to form and to be found.
+        Hosts tend to become slow several at a time. During such a period, a
+        host without a recent report has an even chance of making its next
+        group slow, and it takes two seconds to form that group and to detect
+        the slowness.
         """
-        if now - self._slow_seen > SLOW_SPELL_S:
+        if now - self._slow_seen_at > SLOW_PERIOD_S:
             return False
         reported = self._reported_at.get(server, float("-inf"))
-        return now - reported > FRESH_S
+        return now - reported > FRESH_REPORT_S
 
     def is_answering(self, server: str) -> bool:
-        """Tell whether a server answered when it was last asked, if ever."""
+        """Return whether a server answered its last status query, if any."""
         return server not in self._unanswered
 
     def has_reported(self, server: str) -> bool:
-        """Tell whether a server has told its state in this term."""
-        return server in self._heard_of
+        """Return whether a server has reported its state in this term."""
+        return server in self._reporting
 
     def is_slow(self, server: str, now: float) -> bool:
-        """Tell whether a server works much slower than others."""
-        return self._slow.get(server, now) > now
+        """Return whether a server is much slower than others."""
+        return self._slow_until.get(server, now) > now
 
-    def is_unknown_member(self, host: BackendServer) -> bool:
-        """Tell whether a host is in a group that it may not be taken from."""
-        return self._holds(host.server, host.membership)
+    def may_be_in_open_group(self, host: BackendServer) -> bool:
+        """Return whether an entry names a group that may still be open."""
+        return self._may_be_open_member(host.server, host.membership)
 
-    def find_reported(self, server: str) -> Membership | None:
-        """Return the group that a server told of, unless it is over.
+    def find_reported_membership(self, server: str) -> Membership | None:
+        """Return the membership that a server reported, unless it has ended.
 
-        Unlike an entry, a report is never older than the orders before it.
+        Unlike an entry, a report reflects all orders executed before it.
         """
         reported = self._reported.get(server)
-        return reported if self._holds(server, reported) else None
+        return reported if self._may_be_open_member(server, reported) else None
 
-    def _holds(self, server: str, membership: Membership | None) -> bool:
-        """Tell whether a group may still be open that a server is in."""
+    def _may_be_open_member(
+        self, server: str, membership: Membership | None
+    ) -> bool:
+        """Return whether the group of a server may still be open."""
         if membership is None:
             return False
         key = (membership.group, membership.epoch)
         left = (server, membership.epoch)
-        return key not in self.cleared and left not in self._left
+        return key not in self.dissolved and left not in self._left
 
     def list_domains(
         self, service: str, now: float
     ) -> dict[str, list[BackendServer]]:
-        """Return the hosts of each domain that may be in a group."""
+        """Return the hosts that may be in a group, by fabric domain."""
         domains: dict[str, list[BackendServer]] = {}
         for name, server in self.servers.items():
-            if name in self._slow and not self.is_slow(name, now):
-                # It is asked again before it may be used.
-                del self._slow[name]
-                self._heard_of.discard(name)
+            if name in self._slow_until and not self.is_slow(name, now):
+                # Its status is queried again before it may be used.
+                del self._slow_until[name]
+                self._reporting.discard(name)
             is_out = (
                 server.is_leaving
-                or self._dark.get(name, now) > now
+                or self._unresponsive.get(name, now) > now
                 or self.is_slow(name, now)
             )
             if server.service == service and not is_out:
@@ -279,24 +286,27 @@
         return domains
 
     def _correct(self, entry: BackendServer) -> BackendServer:
-        """Put what a server reported itself in the place of older news."""
+        """Replace an older membership in an entry by the reported one."""
         reported = self._reported.get(entry.server)
         if reported is None:
             return entry
-        told = entry.membership
-        if told is not None and told.epoch >= reported.epoch:
+        entry_membership = entry.membership
+        if (
+            entry_membership is not None
+            and entry_membership.epoch >= reported.epoch
+        ):
             return entry
         return entry._replace(membership=reported)
 
     def _has_rejoined(
         self, server: str, report: ServerReport, now: float
     ) -> bool:
-        """Tell whether a late order let a server join what it had left."""
+        """Return whether a late order made a server rejoin a group it left."""
         left_at = self._left_at.get(server)
         if left_at is None or report.membership is None:
             self.obeyed[server] = report.obeyed
             return False
-        if now - left_at <= REPORT_AGE_S:
+        if now - left_at <= MAX_REPORT_AGE_S:
             return False
         self._left.discard((server, report.membership.epoch))
         del self._left_at[server]
--- a/test/decisions/serving/fleet.py
+++ b/test/decisions/serving/fleet.py
@@ -1,8 +1,8 @@
-"""Backend servers that obey orders, lose answers, obey late, and die.
+"""Fake backend servers that execute orders, lose answers, run late and fail.
 
-The fleet checks two promises at each order, whoever gave it: no host joins
-another group while the head of its group serves, and a group opens only after
-all of its members were ready.
+The fleet checks two guarantees at each order, from whichever leader: no host
+joins another group while the head of its group serves, and a group opens only
+after all of its members were ready.
 """
 
 import heapq
@@ -37,7 +37,7 @@
 STEP_S = 0.05
 ENTRY_LAG_S = 0.3
 ANSWER_S = 0.003
-DARK_ANSWER_S = 0.5
+NO_ANSWER_S = 0.5
 JOIN_S = 0.2
 
 LARGE = ModelShape("large", 4, 1.0, 0.67, 16.0, 1.6)
@@ -68,11 +68,11 @@
 
 
 class Faults(NamedTuple):
-    """How orders go wrong.
+    """Rates at which orders fail.
 
     Attributes:
-      lost: part of the orders that are obeyed without an answer.
-      late: part of the orders that are obeyed seconds later, unanswered.
+      lost: share of the orders that are executed without an answer.
+      late: share of the orders that are executed seconds later, unanswered.
     """
 
     lost: float = 0.0
@@ -80,7 +80,7 @@
 
 
 class FakeServer:
-    """A server with one membership and a place for weights."""
+    """A server with one membership and storage for staged weights."""
 
     def __init__(self, *, server: str, domain: str) -> None:
         self.server = server
@@ -90,18 +90,18 @@
         self.membership: Membership | None = None
         self.members: tuple[str, ...] = ()
         self.ready_at = 0.0
-        self.highest = -1
+        self.highest_epoch = -1
         self.obeyed = 0
-        self.pace = 1.0
+        self.time_factor = 1.0
         self.born = 1
         self.is_dead = False
-        self.is_cut = False
+        self.is_unreachable = False
         self.is_leaving = False
-        self.old_entry: BackendServer | None = None
+        self.stale_entry: BackendServer | None = None
 
 
 class Fleet:
-    """Servers, their entries in the store, and a controller before them."""
+    """Servers, their entries in the store, and the controller of them."""
 
     def __init__(
         self, *, domains: int, hosts: int, seed: int, term: int = 1
@@ -130,7 +130,7 @@
         return server
 
     def make_controller(self, term: int) -> Controller:
-        """Let a new leader take over with the entries as they are."""
+        """Let a new leader take over, with the current entries."""
         controller = Controller(term=term)
         controller.set_configuration(CONFIGURATION)
         if self.has_traffic:
@@ -142,27 +142,27 @@
         return controller
 
     def start_traffic(self) -> None:
-        """Let loads take their full time from now on."""
+        """Start traffic, after which loads take their full time."""
         self.has_traffic = True
         self.controller.note_traffic()
 
     def kill(self, name: str, entry_s: float = 2.5) -> None:
-        """Let a server go silent; its entry is removed later."""
+        """Stop a server; its entry is removed later."""
         self.servers[name].is_dead = True
-        self._put(entry_s, ("gone", name))
+        self._schedule(entry_s, ("gone", name))
 
     def restart(self, name: str) -> None:
-        """Let a server start again under its name; its host keeps weights."""
+        """Restart a server under its name; its host keeps staged weights."""
         server = self.servers[name]
         server.born += 1
         server.last_model = ""
         server.membership = None
         server.members = ()
-        server.highest = -1
+        server.highest_epoch = -1
         server.obeyed = 0
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Simulate the passing of time."""
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + STEP_S, 6)
@@ -173,32 +173,32 @@
                     self._spread(), self.limited, self.now
                 )
             for effect in self.controller.step(self.now):
-                self._take(effect)
+                self._carry_out(effect)
             if round(self.now / STEP_S) % 6 == 0:
-                self._tell_entries()
+                self._send_entries()
 
     def serving(self) -> dict[str, int]:
-        """Return the number of groups of each model that take requests."""
+        """Return the number of groups of each model that accept requests."""
         counts: dict[str, int] = {}
         for group in self.controller.list_groups(self.now):
             counts[group.model] = counts.get(group.model, 0) + 1
         return counts
 
     def _spread(self) -> dict[str, int]:
-        """Return the requests at each head when they are spread evenly."""
+        """Return the requests at each head if they are spread evenly."""
         groups = self.controller.list_groups(self.now)
         requests = {}
         for model, demand in self.demand.items():
-            heads = [one.server for one in groups if one.model == model]
+            heads = [group.server for group in groups if group.model == model]
             for number, head in enumerate(heads):
                 share = (demand + number) // len(heads)
                 requests[head] = min(ENGINE.slots, share)
         return requests
 
     def make_entry(self, server: FakeServer) -> BackendServer:
-        """Return the entry of a server, which may be an old one."""
-        if server.old_entry is not None:
-            return server.old_entry
+        """Return the entry of a server, which may be a stale one."""
+        if server.stale_entry is not None:
+            return server.stale_entry
         return BackendServer(
             server=server.server,
             service=SERVICE,
@@ -213,7 +213,7 @@
         )
 
     def obey(self, name: str, order: Order) -> OrderReply:
-        """Carry an order out and check the promises."""
+        """Execute an order and check the guarantees."""
         server = self.servers[name]
         match order:
             case Join():
@@ -228,17 +228,17 @@
                 return self._stage(server, order)
 
     def _join(self, server: FakeServer, order: Join) -> OrderReply:
-        held = server.membership
-        if held is not None and held.epoch == order.epoch:
-            is_done = held.state is not MemberState.JOINING
+        current = server.membership
+        if current is not None and current.epoch == order.epoch:
+            is_done = current.state is not MemberState.JOINING
             return OrderReply.DONE if is_done else OrderReply.STARTED
-        if order.epoch < server.highest:
+        if order.epoch < server.highest_epoch:
             return OrderReply.STALE
         if order.expected not in (None, server.obeyed):
             return OrderReply.CONFLICT
         self._check_head(server, order)
         server.obeyed += 1
-        server.highest = order.epoch
+        server.highest_epoch = order.epoch
         server.members = order.members
         rank = order.members.index(server.server)
         server.membership = Membership(
@@ -255,7 +255,7 @@
             return OrderReply.DONE
         server.obeyed += 1
         load_s = ENGINE.models[order.model].load_s
-        self._put(
+        self._schedule(
             load_s if self.has_traffic else load_s / 10,
             ("staged", server.server, order.model),
         )
@@ -270,9 +270,13 @@
         return shape.load_s if self.has_traffic else shape.load_s / 10
 
     def _check_head(self, server: FakeServer, order: Join) -> None:
-        """Note a host that is taken from a group whose head serves."""
-        held = server.membership
-        if held is None or not server.members or held.group == order.group:
+        """Record a host that is taken from a group whose head serves."""
+        current = server.membership
+        if (
+            current is None
+            or not server.members
+            or current.group == order.group
+        ):
             return
         head = self.servers.get(server.members[0])
         if head is None or head.is_dead or head.membership is None:
@@ -281,73 +285,75 @@
             MemberState.OPEN,
             MemberState.CLOSING,
         )
-        if head.membership.epoch == held.epoch and serves:
+        if head.membership.epoch == current.epoch and serves:
             self.violations.append(
                 f"{server.server} joined {order.group} while the head "
-                f"{head.server} of {held.group} served"
+                f"{head.server} of {current.group} served"
             )
 
     def _open(self, server: FakeServer, order: Open) -> OrderReply:
-        held = server.membership
-        if held is None or held.epoch != order.epoch:
+        current = server.membership
+        if current is None or current.epoch != order.epoch:
             return OrderReply.CONFLICT
-        if held.state is MemberState.OPEN:
+        if current.state is MemberState.OPEN:
             return OrderReply.DONE
-        if held.state is not MemberState.READY:
+        if current.state is not MemberState.READY:
             return OrderReply.CONFLICT
-        ready = self.was_ready.get((held.group, held.epoch), set())
+        ready = self.was_ready.get((current.group, current.epoch), set())
         if not ready.issuperset(server.members):
-            self.violations.append(f"{held.group} opened without its members")
+            self.violations.append(
+                f"{current.group} opened without its members"
+            )
         server.obeyed += 1
-        server.membership = held._replace(state=MemberState.OPEN)
-        self.opened.add((held.group, held.epoch))
+        server.membership = current._replace(state=MemberState.OPEN)
+        self.opened.add((current.group, current.epoch))
         return OrderReply.STARTED
 
     def _close(self, server: FakeServer, order: Close) -> OrderReply:
-        held = server.membership
-        if held is None or held.epoch != order.epoch:
+        current = server.membership
+        if current is None or current.epoch != order.epoch:
             return OrderReply.CONFLICT
         server.obeyed += 1
-        server.membership = held._replace(state=MemberState.READY)
+        server.membership = current._replace(state=MemberState.READY)
         return OrderReply.STARTED
 
     def _leave(self, server: FakeServer, order: Leave) -> OrderReply:
-        held = server.membership
-        if held is None or held.epoch != order.epoch:
+        current = server.membership
+        if current is None or current.epoch != order.epoch:
             return OrderReply.CONFLICT
         server.obeyed += 1
         server.membership = None
         return OrderReply.DONE
 
-    def _take(self, effect: object) -> None:
+    def _carry_out(self, effect: object) -> None:
         if isinstance(effect, Command):
-            self._take_command(effect)
+            self._send_command(effect)
         elif isinstance(effect, Question):
             name = effect.server.server
             server = self.servers[name]
-            is_lost = server.is_dead or server.is_cut
-            wait = 0.2 if is_lost else ANSWER_S
-            self._put(wait, ("report", name, is_lost))
+            is_lost = server.is_dead or server.is_unreachable
+            delay_s = 0.2 if is_lost else ANSWER_S
+            self._schedule(delay_s, ("report", name, is_lost))
 
-    def _take_command(self, command: Command) -> None:
+    def _send_command(self, command: Command) -> None:
         name = command.server.server
         server = self.servers[name]
         draw = self.generator.random()
-        if server.is_dead or server.is_cut:
-            self._put(DARK_ANSWER_S, ("reply", name, command.order, None))
+        if server.is_dead or server.is_unreachable:
+            self._schedule(NO_ANSWER_S, ("reply", name, command.order, None))
         elif draw < self.faults.late:
-            wait = self.generator.uniform(2.0, 12.0)
-            self._put(wait, ("obey", name, command.order))
-            self._put(DARK_ANSWER_S, ("reply", name, command.order, None))
+            delay_s = self.generator.uniform(2.0, 12.0)
+            self._schedule(delay_s, ("obey", name, command.order))
+            self._schedule(NO_ANSWER_S, ("reply", name, command.order, None))
         elif draw < self.faults.late + self.faults.lost:
             self.obey(name, command.order)
-            self._put(DARK_ANSWER_S, ("reply", name, command.order, None))
+            self._schedule(NO_ANSWER_S, ("reply", name, command.order, None))
         else:
             reply = self.obey(name, command.order)
-            self._put(ANSWER_S, ("reply", name, command.order, reply))
+            self._schedule(ANSWER_S, ("reply", name, command.order, reply))
 
-    def _put(self, wait: float, event: Any) -> None:
-        item = (self.now + wait, next(self._numbers), event)
+    def _schedule(self, delay_s: float, event: Any) -> None:
+        item = (self.now + delay_s, next(self._numbers), event)
         heapq.heappush(self._queue, item)
 
     def _deliver(self) -> None:
@@ -376,23 +382,25 @@
                 server.obeyed,
                 0,
                 0,
-                server.pace,
+                server.time_factor,
                 server.born,
             )
         self.controller.note_report(name, report, self.now)
 
     def _finish_joins(self) -> None:
         for server in self.servers.values():
-            held = server.membership
-            is_joining = held is not None and held.state is MemberState.JOINING
-            if held is None or not is_joining or server.is_dead:
+            current = server.membership
+            is_joining = (
+                current is not None and current.state is MemberState.JOINING
+            )
+            if current is None or not is_joining or server.is_dead:
                 continue
             if self.now >= server.ready_at:
-                server.membership = held._replace(state=MemberState.READY)
-                key = (held.group, held.epoch)
+                server.membership = current._replace(state=MemberState.READY)
+                key = (current.group, current.epoch)
                 self.was_ready.setdefault(key, set()).add(server.server)
 
-    def _tell_entries(self) -> None:
+    def _send_entries(self) -> None:
         for server in self.servers.values():
             if not server.is_dead:
                 self.controller.note_server(self.make_entry(server), self.now)
