--- a/chervilrock/decisions/serving/census.py
+++ b/chervilrock/decisions/serving/census.py
@@ -1,7 +1,8 @@
-"""What the hosts do, by model and data centre: downtime and stranded hosts.
+"""Counts hosts by state, model and data centre.
 
-A model is short while it has fewer groups than it needs; a host is stranded
-while it is in no group that serves.
+The counts show shortages and unused hosts. A model is short of capacity while
+it has fewer groups than it needs; a host is unused while it is in no group that
+serves.
 """
 
 from collections import Counter
@@ -14,19 +15,19 @@
 from chervilrock.decisions.serving.site import EngineProfile
 
 INTERVAL_S = 1.0
-"""Time between two counts that are logged; two lines a second tell which model
-was short at any moment of a day."""
+"""Time between two counts that are logged. One count a second, with a line for
+each model, shows which model was short of capacity at any moment of a day."""
 
 
 class HostState(enum.Enum):
-    """What a host does.
+    """State of a host.
 
     Attributes:
-      SERVING: it is in a group that takes requests.
-      CLOSING: its group finishes what it has.
-      JOINING: it joins a group, or loads to stand by.
-      CLEARING: its group is taken apart.
-      STANDBY: it stands by with weights in memory.
+      SERVING: its group accepts requests.
+      CLOSING: its group completes its remaining requests.
+      JOINING: it is joining a group, or loading weights to become a standby.
+      CLEARING: its group is being dissolved.
+      STANDBY: it is a standby host with weights in memory.
       FREE: it is in no group, or does not answer.
     """
 
@@ -49,13 +50,13 @@
 
 
 class ModelCount(NamedTuple):
-    """Groups and hosts of a model.
+    """Numbers of groups and hosts of a model.
 
     Attributes:
-      service: the service.
-      model: the model; empty for hosts that are in no group.
-      groups: groups that take requests.
-      needed: groups that the demand asks for.
+      service: name of the service.
+      model: name of the model; empty for hosts that are in no group.
+      groups: number of groups that accept requests.
+      needed: number of groups that the demand requires.
       hosts: number of hosts in each state.
       places: number of hosts in each data centre and state.
     """
@@ -69,7 +70,7 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether it has fewer groups than it needs."""
+        """Whether the model has fewer groups than it needs."""
         return self.groups < int(self.needed)
 
 
@@ -79,13 +80,13 @@
     engine: EngineProfile,
     needs: Mapping[str, float],
 ) -> tuple[ModelCount, ...]:
-    """Return what the hosts of a service do, by model.
+    """Return the host counts of a service by model.
 
     Args:
       board: groups and hosts.
-      service: the service.
-      engine: its models.
-      needs: groups that each model needs.
+      service: name of the service.
+      engine: engine profile with the models of the service.
+      needs: number of groups that each model needs.
     """
     hosts: dict[str, Counter[HostState]] = {}
     places: dict[str, Counter[tuple[str, HostState]]] = {}
--- a/chervilrock/decisions/serving/demand.py
+++ b/chervilrock/decisions/serving/demand.py
@@ -1,8 +1,8 @@
-"""How many groups of each model the callers need.
+"""Estimates how many groups of each model the callers need.
 
-Load pattern: what a model needs differs from the share that the configuration
-names, and changes while bursts last. A model that is short of groups runs few
-requests because it can run no more, so its demand must not seem to fall.
+Load pattern: the need of a model differs from its configured share and changes
+during bursts. A model that is short of groups runs few requests because it has
+no slots for more, so its demand must not appear to fall.
 """
 
 from collections.abc import Mapping
@@ -10,111 +10,122 @@
 
 from chervilrock.decisions.serving.site import EngineProfile
 
-RESERVE = 2.5
-"""Slots beyond the requests that run, in standard deviations of their number
+RESERVE_DEVIATIONS = 2.5
+"""Slots beyond the running requests, in standard deviations of their number
 (its square root, as arrivals are random). The fewer groups a model has, the
-larger the part of their slots that has to stay free: with a part of 0.6 for
-all, a large group was closed for a small one while the four large groups were
-the ones that turned callers away."""
+larger the fraction of their slots that has to stay free: with a fraction of 0.6
+for all models, a large group was closed for a small one while it was the four
+large groups that rejected callers."""
 
-FULL = 0.85
-"""Part of the slots from which a model counts as full: what it could run
-beyond is not seen."""
+FULL_FRACTION = 0.85
+"""Fraction of busy slots from which a model counts as full: demand beyond it
+cannot be observed."""
 
-RISE_S = 2.0
-"""Time constant with which the demand follows a rise, in seconds; a group takes
-two seconds to move, so that a wave of one is not followed."""
+RISE_TIME_CONSTANT_S = 2.0
+"""Time constant with which the demand follows a rise, in seconds. Moving
+a group takes two seconds, so waves of one second are smoothed out."""
 
-FALL_S = 5.0
-"""Time constant with which it follows a fall. After a loss the requests that
-run fall at once, the demand does not."""
+FALL_TIME_CONSTANT_S = 5.0
+"""Time constant with which the demand follows a fall. After a loss the number
+of running requests falls at once, but the demand does not."""
 
-FULLNESS_S = 0.7
-"""Time constant of how full the groups of a model are, in seconds."""
+FULLNESS_TIME_CONSTANT_S = 0.7
+"""Time constant of the fraction of busy slots of a model, in seconds."""
 
-PRESSED = 0.8
-"""Part of the slots from which a model may take the groups of another one. At
-0.75 first events still come as fast as ever."""
+OVERLOADED_FRACTION = 0.8
+"""Fraction of busy slots from which groups of other models may be dissolved for
+a model. At 0.75 first events are not yet delayed."""
 
-PRESSED_S = 0.7
-"""Time for which it must have been that full; a wave of requests is over by
-then, and so is the repair of a group."""
+OVERLOAD_DELAY_S = 0.7
+"""Time for which a model must have been that full. A wave of requests or
+the repair of a group is over by then."""
 
-LEARN_S = 3.0
-"""Time from the first requests until the demand is taken for known."""
+MIN_OBSERVATION_S = 3.0
+"""Time from the first request until the demand counts as known."""
 
-LEAST_GROUPS = 2.0
-"""Groups that each model should have, so that one loss takes no model away."""
+MIN_GROUPS = 2.0
+"""Groups that each model should have, so that the loss of one does not make a
+model unavailable."""
 
-SERVING_PART = 0.8
-"""Part of the hosts that should serve while the demand is not known; the
-others stand by."""
+SERVING_FRACTION = 0.8
+"""Fraction of the hosts that should serve while the demand is not known; the
+others are standby hosts."""
 
 
 class Demand:
-    """Requests of each model, as they were seen lately."""
+    """The recent demand for each model."""
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._began: float | None = None
+        """Create a demand without observations."""
+        self._started_at: float | None = None
         self._updated = 0.0
         self._requests: dict[str, float] = {}
         self._fullness: dict[str, float] = {}
-        self._pressed: dict[str, float] = {}
+        self._overloaded_since: dict[str, float] = {}
 
     def note(
-        self, requests: Mapping[str, int], places: Mapping[str, int], now: float
+        self,
+        requests: Mapping[str, int],
+        capacities: Mapping[str, int],
+        now: float,
     ) -> None:
-        """Take how many requests run and could run.
+        """Record how many requests run and how many could run.
 
         Args:
-          requests: requests that run, by model.
-          places: requests that the open groups run at once, by model.
+          requests: number of running requests by model.
+          capacities: number of requests that the open groups can run by model.
           now: present time.
         """
-        if self._began is None:
+        if self._started_at is None:
             if not any(requests.values()):
                 return
-            self._began = now
+            self._started_at = now
             self._updated = now
-        elapsed = now - self._updated
+        elapsed_s = now - self._updated
         self._updated = now
         for model, count in requests.items():
             known = self._requests.get(model, 0.0)
-            is_full = count >= FULL * places.get(model, 0)
+            is_full = count >= FULL_FRACTION * capacities.get(model, 0)
             if count < known and is_full:
                 continue
-            time = RISE_S if count > known else FALL_S
-            self._requests[model] = _follow(known, count, elapsed, time)
+            time_constant_s = (
+                RISE_TIME_CONSTANT_S if count > known else FALL_TIME_CONSTANT_S
+            )
+            self._requests[model] = _smooth(
+                known, count, elapsed_s, time_constant_s
+            )
         for model, running in requests.items():
-            count = places.get(model, 0)
+            count = capacities.get(model, 0)
             fullness = running / count if count else 1.0
             known = self._fullness.get(model, 0.0)
-            self._fullness[model] = _follow(
-                known, fullness, elapsed, FULLNESS_S
+            self._fullness[model] = _smooth(
+                known, fullness, elapsed_s, FULLNESS_TIME_CONSTANT_S
             )
-        self._note_pressed(now)
+        self._note_overloaded(now)
 
-    def _note_pressed(self, now: float) -> None:
+    def _note_overloaded(self, now: float) -> None:
         for model, fullness in self._fullness.items():
-            if fullness < PRESSED:
-                self._pressed.pop(model, None)
+            if fullness < OVERLOADED_FRACTION:
+                self._overloaded_since.pop(model, None)
             else:
-                self._pressed.setdefault(model, now)
+                self._overloaded_since.setdefault(model, now)
 
-    def list_pressed(self, now: float) -> frozenset[str]:
+    def list_overloaded(self, now: float) -> frozenset[str]:
         """Return the models whose groups have been nearly full for a while."""
         if not self.is_known(now):
             return frozenset()
         return frozenset(
             model
-            for model, since in self._pressed.items()
-            if now - since >= PRESSED_S
+            for model, since in self._overloaded_since.items()
+            if now - since >= OVERLOAD_DELAY_S
         )
 
     def is_known(self, now: float) -> bool:
-        """Tell whether requests were seen for long enough."""
-        return self._began is not None and now - self._began >= LEARN_S
+        """Return whether requests were observed for long enough."""
+        return (
+            self._started_at is not None
+            and now - self._started_at >= MIN_OBSERVATION_S
+        )
 
     def find_needs(
         self,
@@ -123,12 +134,12 @@
         hosts: int,
         now: float,
     ) -> dict[str, float]:
-        """Return the groups that each model needs.
+        """Return the number of groups that each model needs.
 
         Args:
           engine: models that are served, and the slots of a group.
-          groups: groups of each model that serve or form.
-          hosts: hosts that may be in groups.
+          groups: number of groups of each model that serve or are being formed.
+          hosts: number of hosts that may be in groups.
           now: present time.
         """
         if not self.is_known(now):
@@ -136,24 +147,28 @@
         needs = {}
         for model in engine.models:
             running = self._requests.get(model, 0.0)
-            slots = running + RESERVE * math.sqrt(running)
+            slots = running + RESERVE_DEVIATIONS * math.sqrt(running)
             need = slots / engine.slots
-            if self._fullness.get(model, 0.0) > FULL:
+            if self._fullness.get(model, 0.0) > FULL_FRACTION:
                 need = max(need, groups.get(model, 0) + 1.0)
-            needs[model] = max(LEAST_GROUPS, need)
+            needs[model] = max(MIN_GROUPS, need)
         return needs
 
 
-def _follow(known: float, seen: float, elapsed: float, time: float) -> float:
-    """Return a smoothed value after some seconds."""
-    return known + (seen - known) * (1.0 - math.exp(-elapsed / time))
+def _smooth(
+    known: float, sample: float, elapsed_s: float, time_constant_s: float
+) -> float:
+    """Return an exponentially smoothed value after a sample."""
+    return known + (sample - known) * (
+        1.0 - math.exp(-elapsed_s / time_constant_s)
+    )
 
 
 def _split_by_share(engine: EngineProfile, hosts: int) -> dict[str, float]:
-    """Return the groups of each model by its share of the hosts."""
+    """Return the number of groups of each model by its share of the hosts."""
     models = tuple(engine.models.values())
     total = sum(model.share for model in models) or 1.0
-    serving = SERVING_PART * hosts
+    serving = SERVING_FRACTION * hosts
     return {
         model.name: max(0.01, serving * model.share / total / model.size)
         for model in models
--- a/chervilrock/decisions/serving/failures.py
+++ b/chervilrock/decisions/serving/failures.py
@@ -1,13 +1,12 @@
-"""Which groups answer requests with failures of their own.
-
-Load pattern: some servers tell that they are well and fail every request at
-once. They are always the emptiest, since a failure takes some tens of
-milliseconds and an answer a second, so that placing by fullness sends them
-more requests than all others together. A group that fails is avoided, longer
-each time it fails again, and tried by single requests in between; rather than
-go there, a request waits for a place elsewhere. When more than half of the
-groups fail, it is as likely the requests that are at fault, and none is
-avoided.
+"""Detects groups that fail requests by themselves.
+
+Load pattern: some servers report that they are healthy and fail every request
+at once. They are always the least loaded, since a failure takes tens of
+milliseconds and an answer a second, so that placement by load sends them more
+requests than all other groups together. A failing group is avoided with an
+exponential backoff and probed by single requests in between; meanwhile requests
+wait for a slot of another group. When more than half of the groups fail, the
+requests are as likely to be the cause, and no group is avoided.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,42 +14,42 @@
 
 Group = TypeVar("Group")
 
-MOST_AVOIDED_PART = 0.5
-"""Greatest part of the groups of a model that is avoided."""
+MAX_AVOIDED_FRACTION = 0.5
+"""Greatest fraction of the groups of a model that is avoided."""
 
-FIRST_S = 0.5
+FIRST_AVOIDANCE_S = 0.5
 """Time for which a group is avoided after its first failure."""
 
-LONGEST_S = 8.0
-"""Longest time until a group is tried again."""
+MAX_AVOIDANCE_S = 8.0
+"""Longest time until a group gets a request again."""
 
-GROWTH = 2.0
+BACKOFF_FACTOR = 2.0
 """Factor on this time for each further failure without a success."""
 
 
 class Failures:
-    """Failures of groups since their last success."""
+    """Counts the failures of each group since its last success."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Create counts without failures."""
         self._counts: dict[str, int] = {}
 
     def note_failure(self, group: str) -> float:
-        """Take that a group failed a request.
+        """Record that a group failed a request.
 
         Returns:
-          Seconds for which it should be avoided.
+          Seconds for which the group should be avoided.
         """
         count = self._counts.get(group, 0)
         self._counts[group] = count + 1
-        return min(LONGEST_S, FIRST_S * GROWTH**count)
+        return min(MAX_AVOIDANCE_S, FIRST_AVOIDANCE_S * BACKOFF_FACTOR**count)
 
     def note_success(self, group: str) -> None:
-        """Take that a group answered a request."""
+        """Record that a group answered a request."""
         self._counts.pop(group, None)
 
     def keep_only(self, groups: frozenset[str]) -> None:
-        """Forget groups that are gone."""
+        """Forget all groups but these."""
         for group in set(self._counts) - groups:
             del self._counts[group]
 
@@ -58,7 +57,7 @@
 def leave_out(
     groups: Sequence[Group], is_failing: Callable[[Group], bool]
 ) -> Sequence[Group]:
-    """Return the groups that do not fail, all of them if too many do."""
-    sound = [one for one in groups if not is_failing(one)]
-    avoided = len(groups) - len(sound)
-    return groups if avoided > MOST_AVOIDED_PART * len(groups) else sound
+    """Return the groups that do not fail, or all groups if too many fail."""
+    healthy = [group for group in groups if not is_failing(group)]
+    avoided = len(groups) - len(healthy)
+    return groups if avoided > MAX_AVOIDED_FRACTION * len(groups) else healthy
--- a/chervilrock/decisions/serving/lateness.py
+++ b/chervilrock/decisions/serving/lateness.py
@@ -1,12 +1,11 @@
-"""How a request stands: begun, still on time, or late for good.
-
-Load pattern: after all nodes were lost for two seconds, some two hundred
-callers come back at once, while new ones arrive as before. Those that come
-back cannot be on time any more, the new ones can. A caller that comes back
-waits only for the rest of its time limit, which tells how long it has waited
-already; counted from their arrival at a node, all of them seemed new and
-filled the groups: of the requests of the two seconds after the start 51 of 170
-were on time.
+"""Classifies requests as begun, still on time or irrecoverably late.
+
+Load pattern: after an outage of all nodes for two seconds, about two hundred
+callers retry at once, while new callers arrive as before. The retries can no
+longer be on time, the new requests can. A retrying caller names only the rest
+of its time limit, from which the time that it has waited already follows.
+Counted from their arrival at a node, all requests appeared new and filled the
+groups: only 51 of the 170 requests of the first two seconds were on time.
 """
 
 from collections import deque
@@ -15,13 +14,14 @@
 
 
 class Standing(enum.IntEnum):
-    """How a request stands; a smaller value goes first.
+    """Timeliness of a request; smaller values have precedence.
 
     Attributes:
-      BEGUN: its caller has events of a stream that was cut, and gives it up
-        after a short gap.
-      ON_TIME: its first event can come in time.
-      LATE: it cannot, but is worth something until its time limit.
+      BEGUN: its caller has events of an interrupted stream, and gives up after
+        a short gap.
+      ON_TIME: its first event can be on time.
+      LATE: its first event cannot be on time, but the answer is still of use
+        until the time limit.
     """
 
     BEGUN = 0
@@ -36,13 +36,14 @@
     target_s: float,
     first_event_s: float = 0.0,
 ) -> Standing:
-    """Return how a request stands.
+    """Return the timeliness of a request.
 
     Args:
-      has_begun: whether its caller has any event.
+      has_begun: whether its caller has received any event.
       waited_s: how long its caller has waited, in seconds.
-      target_s: time to the first event that counts as on time.
-      first_event_s: expected time from the send to the first event.
+      target_s: longest time to the first event that counts as on time, in
+        seconds.
+      first_event_s: expected time from the send to the first event, in seconds.
     """
     if has_begun:
         return Standing.BEGUN
@@ -50,52 +51,53 @@
     return Standing.ON_TIME if is_on_time else Standing.LATE
 
 
-KEPT = 64
-"""Time limits of callers of a route that are remembered."""
+MAX_KEPT_LIMITS = 64
+"""Number of time limits that are kept for each route."""
 
-ENOUGH = 8
-"""Time limits from which on their median is taken for the usual one."""
+MIN_KNOWN_LIMITS = 8
+"""Number of known time limits from which their median is the usual limit."""
 
-FIRST_PART = 0.85
-"""Part of the usual time limit that callers who come first have at least. They
-do not all wait equally long: of 299 callers of a route all but two named 0.9
-of the median or more, and those two may have come back. With the most frequent
-limit in place of the median two of five were taken for late though they had
-just come."""
+FIRST_ARRIVAL_FRACTION = 0.85
+"""Least time limit of a first attempt as a fraction of the usual limit. Limits
+differ between callers: of 299 callers of a route all but two named 0.9 of the
+median or more, and those two may have been retries. With the most frequent
+limit instead of the median, two of five first attempts were classified as
+late."""
 
-TYPICAL_PART = 0.92
-"""Usual limit as a part of the longest time of a route, while few are known."""
+DEFAULT_LIMIT_FRACTION = 0.92
+"""Usual limit as a fraction of the longest time for a request of a route, while
+few limits are known."""
 
 
 class UsualLimits:
-    """The time limits with which the callers of each route come."""
+    """The usual time limits of the callers of each route."""
 
     def __init__(self) -> None:
-        """Know of no caller."""
-        self._seen: dict[str, deque[float]] = {}
+        """Create a registry without time limits."""
+        self._limits: dict[str, deque[float]] = {}
 
     def note(self, route: str, limit_s: float) -> None:
-        """Take the time limit of a request, in seconds."""
-        seen = self._seen.setdefault(route, deque(maxlen=KEPT))
-        seen.append(limit_s)
+        """Record the time limit of a request, in seconds."""
+        limits = self._limits.setdefault(route, deque(maxlen=MAX_KEPT_LIMITS))
+        limits.append(limit_s)
 
     def estimate_wait(
         self, route: str, limit_s: float, longest_s: float
     ) -> float:
-        """Return how long a caller has waited before it came, in seconds.
+        """Return how long a caller waited before this attempt, in seconds.
 
-        A caller that comes back names what is left of its limit. Short waits
-        are within what the limits of callers differ by, and count as none.
+        A retrying caller names the rest of its limit. Short waits are within
+        the variation of the limits and count as none.
 
         Args:
           route: name of the route.
           limit_s: time limit that the caller names now.
           longest_s: longest time for a request of the route.
         """
-        seen = self._seen.get(route, ())
-        usual_s = TYPICAL_PART * longest_s
-        if len(seen) >= ENOUGH:
-            usual_s = statistics.median(seen)
-        if limit_s >= FIRST_PART * usual_s:
+        limits = self._limits.get(route, ())
+        usual_s = DEFAULT_LIMIT_FRACTION * longest_s
+        if len(limits) >= MIN_KNOWN_LIMITS:
+            usual_s = statistics.median(limits)
+        if limit_s >= FIRST_ARRIVAL_FRACTION * usual_s:
             return 0.0
         return usual_s - limit_s
--- a/chervilrock/decisions/serving/placement.py
+++ b/chervilrock/decisions/serving/placement.py
@@ -1,10 +1,10 @@
-"""Which group or server gets a request.
+"""Chooses the group or server of a request.
 
-Load pattern: requests come in waves at all nodes at once, and each node sees
-only its own sends at once; those of the others it hears a moment later. A
-batch slows down with each request in it, so a request goes where the batch is
-emptiest. A group of the own data centre is preferred while its batch is only a
-little fuller, since traffic between data centres is paid for.
+Load pattern: requests arrive in waves at all nodes at once. A node counts its
+own sends at once; those of the other nodes are announced a moment later. A
+batch slows down with each request in it, so a request goes to the endpoint with
+the emptiest batch. A group of the node's own data centre is preferred while its
+batch is only a little fuller, since traffic between data centres is charged.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,31 +21,35 @@
 
 NEAR_SAMPLE = 2
 FAR_SAMPLE = 1
-"""Endpoints of the own and of other data centres that are compared. The more
-there are, the more of all requests go to what was emptiest by the last news."""
+"""Numbers of endpoints of the own and of other data centres that are compared.
+The larger the samples, the more requests of all nodes go to the endpoint that
+was the emptiest in the last announcement."""
 
-CROSSING_COST = 0.25
-"""Part of the slots that a group of another data centre must be emptier while
-the groups are empty; the fuller they are, the less. A quarter of 13 slots makes
-a step 1.5 ms longer, which is less than what a crossing costs in time and
-traffic; but a request beyond the slots waits half a second in the engine."""
+REMOTE_PENALTY = 0.25
+"""Fraction of the slots by which a group of another data centre must be emptier
+while the groups are empty; it decreases as they fill up. A quarter of 13 slots
+makes a step 1.5 ms longer, which is less than the time and traffic between data
+centres cost; but a request beyond the slots waits half a second in the
+engine."""
 
 
-BEYOND_SHARE_COST = 0.5
-"""Part of the slots that a group must be emptier when this node already has its
-share of it: the other nodes are about to send there too."""
+OVER_SHARE_PENALTY = 0.5
+"""Fraction of the slots by which a group must be emptier if this node has
+already used its share of the group: the other nodes are about to send there
+too."""
 
 
 class Load(NamedTuple):
-    """Requests at an endpoint.
+    """Load of an endpoint.
 
     Attributes:
-      own: those of this node.
-      others: those of other nodes at the last announcement.
-      slots: requests that run at once.
-      is_doubtful: whether it is better avoided.
-      own_limit: most requests that this node should have there, so that those
-        of all nodes fit.
+      own: number of requests of this node.
+      others: number of requests of other nodes at the last announcement.
+      slots: number of requests that run at once.
+      is_deprioritized: whether the endpoint is chosen only if there is no
+        other.
+      own_limit: greatest number of requests that this node should have there,
+        so that those of all nodes fit.
     """
 
     own: int
@@ -56,12 +60,12 @@
 
     @property
     def total(self) -> int:
-        """All requests."""
+        """Number of requests of all nodes."""
         return self.own + self.others
 
 
 class Choice(NamedTuple, Generic[Endpoint]):
-    """The endpoint for a request, and how full it was."""
+    """The endpoint for a request, and its load when it was chosen."""
 
     endpoint: Endpoint
     load: Load
@@ -76,15 +80,16 @@
     bound: "Bound",
     generator: "random.Random",
 ) -> Choice[Endpoint] | None:
-    """Return the best endpoint with room, None when there is none.
+    """Return the best endpoint with a free slot, None if there is none.
 
     Args:
-      endpoints: those that serve what is asked for.
-      find_load: returns the requests at an endpoint.
-      data_centre: where this node stands.
+      endpoints: endpoints that serve the requested model or service.
+      find_load: returns the load of an endpoint.
+      data_centre: data centre of this node.
       avoided: servers that must not get the request.
       bound: how full an endpoint may be.
-      generator: breaks ties, so that nodes do not all choose the same.
+      generator: draws the samples, so that the nodes choose different
+        endpoints.
     """
     near: list[Choice[Endpoint]] = []
     far: list[Choice[Endpoint]] = []
@@ -94,86 +99,92 @@
             continue
         is_near = endpoint.data_centre == data_centre
         (near if is_near else far).append(Choice(endpoint, load))
-    sample = _sample(near, NEAR_SAMPLE, generator)
-    sample += _sample(far, FAR_SAMPLE, generator)
+    sample = _draw_sample(near, NEAR_SAMPLE, generator)
+    sample += _draw_sample(far, FAR_SAMPLE, generator)
     if not sample:
         return None
 
-    def weigh(choice: Choice[Endpoint]) -> tuple[bool, float]:
+    def sort_key(choice: Choice[Endpoint]) -> tuple[bool, float]:
         load = choice.load
         is_far = choice.endpoint.data_centre != data_centre
         fullness = load.total / load.slots
-        crossing = CROSSING_COST * max(0.0, 1.0 - fullness) if is_far else 0.0
-        is_beyond = load.own >= load.own_limit
-        excess = BEYOND_SHARE_COST if is_beyond else 0.0
-        return load.is_doubtful, fullness + crossing + excess
+        distance_penalty = (
+            REMOTE_PENALTY * max(0.0, 1.0 - fullness) if is_far else 0.0
+        )
+        is_over_share = load.own >= load.own_limit
+        share_penalty = OVER_SHARE_PENALTY if is_over_share else 0.0
+        return load.is_doubtful, fullness + distance_penalty + share_penalty
 
-    return min(sample, key=weigh)
+    return min(sample, key=sort_key)
 
 
-def _sample(
+def _draw_sample(
     choices: "list[Choice[Endpoint]]",
-    most: int,
+    sample_size: int,
     generator: "random.Random",
 ) -> "list[Choice[Endpoint]]":
-    """Return some of the choices, those that are not doubted first."""
-    sound = [one for one in choices if not one.load.is_doubtful]
-    pool = sound or choices
-    return generator.sample(pool, min(most, len(pool)))
+    """Return a sample of the choices that are not deprioritized.
+
+    If all choices are deprioritized, the sample is drawn from them.
+    """
+    preferred = [choice for choice in choices if not choice.load.is_doubtful]
+    pool = preferred or choices
+    return generator.sample(pool, min(sample_size, len(pool)))
 
 
 class Bound(NamedTuple):
-    """How full an endpoint may be that takes a request.
+    """How full an endpoint may be to get another request.
 
     Attributes:
-      total: requests of all nodes, as a part of its slots.
-      own: requests of this node, as a part of its slots.
-      shared_from: requests of all nodes, as a part of its slots, from which
-        a node keeps to its own limit.
+      total: requests of all nodes, as a fraction of its slots.
+      own: requests of this node, as a fraction of its slots.
+      share_threshold: requests of all nodes, as a fraction of its slots, from
+        which the limit of each node applies.
     """
 
     total: float
     own: float
-    shared_from: float = NO_LIMIT
+    share_threshold: float = NO_LIMIT
 
     def allows(self, load: Load) -> bool:
-        """Tell whether an endpoint has room for one more request."""
+        """Return whether an endpoint may get one more request."""
         if load.total >= self.total * load.slots:
             return False
-        is_shared = load.total >= self.shared_from * load.slots
-        if is_shared and load.own >= load.own_limit:
+        applies_share = load.total >= self.share_threshold * load.slots
+        if applies_share and load.own >= load.own_limit:
             return False
         return load.own < max(1.0, self.own * load.slots)
 
 
-SHARED_PART = 0.7
-"""Part of the slots from which a request that has just come goes to a group
-only within the share of its node; below, what other nodes send meanwhile still
-fits."""
+SHARED_FRACTION = 0.7
+"""Fraction of busy slots from which a request that has just arrived goes to a
+group only within the share of its node; below it, the concurrent requests of
+other nodes still fit."""
 
-GROUP_BOUND = Bound(total=1.0, own=1.0, shared_from=SHARED_PART)
-"""More requests at a group would wait in the engine, where no other group can
-take them."""
+GROUP_BOUND = Bound(total=1.0, own=1.0, share_threshold=SHARED_FRACTION)
+"""Additional requests would wait in the engine, where no other group can serve
+them."""
 
-WAITING_BOUND = GROUP_BOUND._replace(shared_from=0.0)
-"""For requests that have waited: all nodes have some when there is any free
-slot, so that each keeps to its share."""
+WAITING_BOUND = GROUP_BOUND._replace(share_threshold=0.0)
+"""Bound for requests that have waited. When a slot becomes free, all nodes have
+waiting requests, so each node keeps to its share."""
 
-LATE_PART = 0.5
-"""Part of the slots for requests that can no longer be on time while places
-are short, or when they have just come. After an outage some hundred of them
-wait; let in all at once they make those that come new late as well."""
+LATE_FRACTION = 0.5
+"""Fraction of the slots for requests that can no longer be on time, during a
+shortage or when they have just arrived. About a hundred of them wait after an
+outage; if all are admitted at once, new requests become late as well."""
 
 LATE_PATIENCE_S = 0.5
-"""Time after which a late request takes any place that no other one lacks."""
+"""Time after which a late request gets any free slot, unless there is a
+shortage."""
 
 SERVER_BOUND = Bound(total=1.5, own=1.5)
-"""Requests at a server of a plain service: they are over in some tens of
-milliseconds, and a short queue keeps the slots busy."""
+"""Bound for servers of a plain service: requests take tens of milliseconds, and
+a short queue keeps the slots busy."""
 
 BEGUN_BOUND = Bound(total=1.25, own=1.25)
-"""For streams that were cut: their callers give up after a short gap, and the
-engine admits them first."""
+"""Bound for interrupted streams: their callers give up after a short gap, and
+the engine admits them first."""
 
 
 def find_group_bound(
@@ -183,16 +194,16 @@
     waited_s: float = 0.0,
     is_short: bool = False,
 ) -> Bound:
-    """Return how full a group may be that takes a request.
+    """Return how full a group may be to get a request.
 
-    A node that has just started knows the requests of the others only some
-    tenths of a second later, so that its late ones keep to its share.
+    A node that has just started gets the loads of the other nodes only some
+    tenths of a second later, so its late requests keep to its share.
 
     Args:
-      standing: how the request stands.
+      timeliness: timeliness of the request.
       nodes: number of nodes that send to the same groups.
-      waited_s: time for which it has waited here, in seconds.
-      is_short: whether requests that could be on time lack places.
+      waited_s: time for which it has waited at this node, in seconds.
+      has_shortage: whether requests that could be on time get no slots.
     """
     if standing is Standing.BEGUN:
         return BEGUN_BOUND
@@ -201,5 +212,7 @@
     if waited_s >= LATE_PATIENCE_S and not is_short:
         return WAITING_BOUND
     return Bound(
-        total=LATE_PART, own=LATE_PART / max(1, nodes), shared_from=0.0
+        total=LATE_FRACTION,
+        own=LATE_FRACTION / max(1, nodes),
+        share_threshold=0.0,
     )
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -1,7 +1,7 @@
-"""Which groups, standby hosts and stagings the leader wants next.
+"""Plans the next groups, standby hosts and stagings of a service.
 
-It looks at all that the leader knows of a service and returns what to begin;
-the controller carries it out.
+The planner evaluates the leader's state of a service and returns the actions to
+start; the controller executes them.
 """
 
 from collections import Counter
@@ -29,25 +29,27 @@
 )
 from chervilrock.decisions.serving.staging import HostWeights, StagingBook
 
-SETTLE_S = 1.0
+REGISTRATION_SETTLE_S = 1.0
 """Time without a new server after which the first plan is made: servers
-register one by one within some seconds of their start."""
+register one by one within a few seconds of their start."""
 
 REPORT_WAIT_S = 0.3
-"""Time for the report of a host that was just asked; a sound one answers
-within some milliseconds, and one question may be lost."""
+"""Time to wait for the report of a host after its status is queried. A healthy
+host answers within a few milliseconds; the wait covers the loss of one
+query."""
 
 WARM_UP_FACTOR = 0.1
-"""Part of the time that loads take before the first request."""
+"""Duration of a load before the first request, as a fraction of its usual
+duration."""
 
 
-SETTLED_S = 1.0
-"""Time for which a group has to serve before it may be taken apart."""
+MIN_SERVING_S = 1.0
+"""Time for which a group must have served before it may be dissolved."""
 
-MOVE_S = 8.0
-"""Time for which the free hosts of a domain wait for those of a group that is
-taken apart: its requests end within 5 s, and its hosts leave and load within
-2 s."""
+MOVE_TIMEOUT_S = 8.0
+"""Time for which the free hosts of a domain are reserved for the members of a
+group that is being dissolved: its requests end within 5 s, and its hosts leave
+and load within 2 s."""
 
 
 class Staging(NamedTuple):
@@ -58,13 +60,13 @@
 
 
 class Plan(NamedTuple):
-    """What to begin.
+    """Actions to start.
 
     Attributes:
-      unheard: free hosts that have to tell their state first.
+      unreported: free hosts whose status has to be queried first.
       formations: groups to form.
-      preparations: hosts that should stand by.
-      moves: groups to take apart for another model.
+      preparations: hosts that should become standby hosts.
+      moves: groups to dissolve in favour of another model.
       stagings: hosts that should stage a second model.
     """
 
@@ -75,73 +77,86 @@
     stagings: tuple[Staging, ...] = ()
 
 
-class _Promise(NamedTuple):
-    """A model for which a domain takes groups apart."""
+class _Reservation(NamedTuple):
+    """The model for which a domain dissolves groups."""
 
     model: str
     until: float
 
 
 class Planner:
-    """Plans over the hosts and groups that the leader knows.
+    """Plans for the hosts and groups of a leader.
 
     Attributes:
-      has_traffic: whether callers have begun to send requests, after which
+      has_traffic: whether callers have started to send requests, after which
         loads take their full time.
     """
 
     def __init__(self, *, board: GroupBoard) -> None:
-        """Plan over what others keep current on a board."""
+        """Create a planner.
+
+        Args:
+          board: groups and hosts, kept up to date by other components.
+        """
         self._board = board
         self._hosts = board.hosts
         self._groups = board.groups
         self._stagings = StagingBook()
         self._last_load: float | None = None
-        self._unheard: dict[str, float] = {}
+        self._query_times: dict[str, float] = {}
         self._demands: dict[str, Demand] = {}
         self._requests: Mapping[str, int] = {}
-        self._promises: dict[tuple[str, str], _Promise] = {}
+        self._reservations: dict[tuple[str, str], _Reservation] = {}
         self.has_traffic = False
 
     def plan(self, service: str, engine: EngineProfile, now: float) -> Plan:
-        """Return what to begin for a service now."""
-        if not self.has_traffic and now - self._hosts.last_new < SETTLE_S:
+        """Return the actions to start for a service now."""
+        if (
+            not self.has_traffic
+            and now - self._hosts.last_new < REGISTRATION_SETTLE_S
+        ):
             return Plan()
         domains = self._hosts.list_domains(service, now)
-        taken, standby = self._find_members()
-        groups = self._sort_groups(service)
-        for server in list(self._unheard):
+        occupied, standby = self._find_members()
+        groups = self._group_by_domain(service)
+        for server in list(self._query_times):
             if self._hosts.has_reported(server):
-                del self._unheard[server]
-        asked: list[str] = []
+                del self._query_times[server]
+        queried: list[str] = []
         placed: list[DomainHosts] = []
         for domain, hosts in sorted(domains.items()):
-            free = self._list_free(hosts, taken, standby)
+            free = self._list_free(hosts, occupied, standby)
             unheard = [
-                one.server
-                for one in free
-                if not self._hosts.has_reported(one.server)
+                host.server
+                for host in free
+                if not self._hosts.has_reported(host.server)
             ]
-            asked += unheard
-            heard = [one for one in free if one.server not in unheard]
+            queried += unheard
+            reported = [host for host in free if host.server not in unheard]
             placed.append(
                 DomainHosts(
                     domain=domain,
-                    free=() if self._waits_for(unheard, now) else tuple(heard),
-                    groups=self._list_groups(groups.get(domain, ()), now),
-                    promised=self._find_promise(service, domain, now),
+                    free=()
+                    if self._should_wait_for(unheard, now)
+                    else tuple(reported),
+                    groups=self._list_active_groups(
+                        groups.get(domain, ()), now
+                    ),
+                    reserved_for=self._find_reserved_model(
+                        service, domain, now
+                    ),
                 )
             )
-        servers = tuple(self._hosts.servers[one] for one in asked)
-        if not self.has_traffic and self._waits_for(asked, now):
-            # One plan over all domains; a domain that was planned before the
-            # others had reported got more groups than its part.
+        servers = tuple(self._hosts.servers[server] for server in queried)
+        if not self.has_traffic and self._should_wait_for(queried, now):
+            # Plan all domains together: a domain that is planned before the
+            # others have reported gets more groups than its share.
             return Plan(unheard=servers)
         total = sum(len(hosts) for hosts in domains.values())
-        needs = self._find_demand(service).find_needs(
+        needs = self._get_demand(service).find_needs(
             engine, _count_groups(placed), total, now
         )
-        plan = self._plan(service, engine, placed, needs, now)
+        plan = self._plan_groups(service, engine, placed, needs, now)
         return plan._replace(
             unheard=(*servers, *plan.unheard),
             stagings=self._choose_stagings(engine, domains, placed, needs, now),
@@ -155,34 +170,34 @@
         service: str,
         now: float,
     ) -> None:
-        """Take the requests of all nodes at each head.
+        """Record the requests of all nodes at each group head.
 
-        A group whose head limits what it gets has room for no more than it
-        runs.
+        The capacity of a group whose head limits its requests is the number of
+        requests that it runs.
 
         Args:
-          requests: requests by head.
-          limited: heads that limit what they get.
-          engine: how the engines of the service work.
-          service: the service.
+          requests: number of requests by head.
+          limited: heads that limit their requests.
+          engine: engine profile of the service.
+          service: name of the service.
           now: present time.
         """
         self._requests = requests
         running: Counter[str] = Counter()
-        places: Counter[str] = Counter()
+        capacities: Counter[str] = Counter()
         running.update(dict.fromkeys(engine.models, 0))
         for group in self._groups.values():
             if group.service == service and group.phase is Phase.SERVING:
                 count = requests.get(group.head, 0)
                 is_limited = group.head in limited
                 running[group.model] += count
-                places[group.model] += count if is_limited else engine.slots
-        self._find_demand(service).note(running, places, now)
+                capacities[group.model] += count if is_limited else engine.slots
+        self._get_demand(service).note(running, capacities, now)
 
     def find_needs(
         self, service: str, engine: EngineProfile, now: float
     ) -> dict[str, float]:
-        """Return the groups that each model of a service needs."""
+        """Return the number of groups that each model of a service needs."""
         serving = Counter(
             group.model
             for group in self._groups.values()
@@ -193,15 +208,18 @@
             for server in self._hosts.servers.values()
             if server.service == service
         )
-        demand = self._find_demand(service)
+        demand = self._get_demand(service)
         return demand.find_needs(engine, serving, hosts, now)
 
-    def _find_demand(self, service: str) -> Demand:
-        """Return the requests of a service, as they were seen lately."""
+    def _get_demand(self, service: str) -> Demand:
+        """Return the recent demand of a service."""
         return self._demands.setdefault(service, Demand())
 
     def take_load(self, engine: EngineProfile, now: float) -> bool:
-        """Count a load if the weight store takes one more now."""
+        """Return whether the weight store can serve one more load now.
+
+        If so, the load is counted as started.
+        """
         if not self.has_traffic:
             return True
         loading = self._stagings.count(now) + sum(
@@ -211,7 +229,7 @@
         )
         pause = 1.0 / max(engine.loads_per_s, 0.1)
         if self._last_load is None:
-            # The last leader may have begun one just now.
+            # The previous leader may have started a load just now.
             self._last_load = now
         if loading >= engine.loads_at_once or now - self._last_load < pause:
             return False
@@ -219,14 +237,14 @@
         return True
 
     def expect_load(self, shape: ModelShape) -> float:
-        """Return how long a load takes now, in seconds."""
+        """Return the expected duration of a load now, in seconds."""
         factor = 1.0 if self.has_traffic else WARM_UP_FACTOR
         return factor * shape.load_s
 
     def note_staging(
         self, staging: Staging, engine: EngineProfile, now: float
     ) -> None:
-        """Note that a host was told to stage a model."""
+        """Record that a host was ordered to stage a model."""
         model = staging.order.model
         load_s = self.expect_load(engine.models[model])
         self._stagings.note_ordered(staging.server, model, load_s, now)
@@ -234,14 +252,14 @@
     def note_staging_reply(
         self, server: str, order: Stage, reply: OrderReply | None, now: float
     ) -> None:
-        """Take the answer to an order to stage."""
+        """Record the reply to an order to stage, None if there was none."""
         self._stagings.note_reply(server, order, reply, now)
 
     def forget(self, server: str) -> None:
-        """Forget what a server was told, since it has started again."""
+        """Forget the orders to a server that has restarted."""
         self._stagings.forget(server)
 
-    def _plan(
+    def _plan_groups(
         self,
         service: str,
         engine: EngineProfile,
@@ -255,11 +273,11 @@
             models=tuple(engine.models.values()),
             needs=needs,
             may_load=not self.has_traffic,
-            pressed=self._find_demand(service).list_pressed(now),
+            overloaded=self._get_demand(service).list_overloaded(now),
         )
         for move in planned.moves:
-            promise = _Promise(move.model, now + MOVE_S)
-            self._promises[service, move.domain] = promise
+            reservation = _Reservation(move.model, now + MOVE_TIMEOUT_S)
+            self._reservations[service, move.domain] = reservation
         formations = []
         unheard: list[BackendServer] = []
         for formation in planned.formations:
@@ -271,7 +289,7 @@
             unheard += stale
             if not stale:
                 formations.append(formation)
-                self._keep_promise(service, formation, now)
+                self._end_reservation(service, formation, now)
         return Plan(
             unheard=tuple(unheard),
             formations=tuple(formations),
@@ -279,58 +297,63 @@
             moves=planned.moves,
         )
 
-    def _keep_promise(
+    def _end_reservation(
         self, service: str, formation: Formation, now: float
     ) -> None:
-        """Note that a group is formed for which others were taken apart."""
+        """End a reservation when the group that it was made for is formed."""
         domain = self._hosts.servers[formation.members[0]].domain
-        if self._find_promise(service, domain, now) == formation.model:
-            del self._promises[service, domain]
+        if self._find_reserved_model(service, domain, now) == formation.model:
+            del self._reservations[service, domain]
+
+    def _find_reserved_model(
+        self, service: str, domain: str, now: float
+    ) -> str:
+        """Return the model for which a domain dissolves groups, if any.
 
-    def _find_promise(self, service: str, domain: str, now: float) -> str:
-        """Return the model that a domain takes groups apart for."""
-        promise = self._promises.get((service, domain))
-        if promise is None or promise.until <= now:
+        The name is empty if there is no reservation or it has expired.
+        """
+        reservation = self._reservations.get((service, domain))
+        if reservation is None or reservation.until <= now:
             return ""
-        return promise.model
+        return reservation.model
 
-    def _sort_groups(self, service: str) -> dict[str, list[ManagedGroup]]:
+    def _group_by_domain(self, service: str) -> dict[str, list[ManagedGroup]]:
         """Return the groups of a service by the domain of their head."""
-        sorted_groups: dict[str, list[ManagedGroup]] = {}
+        groups_by_domain: dict[str, list[ManagedGroup]] = {}
         for group in self._groups.values():
             head = self._hosts.servers.get(group.head)
             if group.service != service or head is None or group.is_standby:
                 continue
-            sorted_groups.setdefault(head.domain, []).append(group)
-        return sorted_groups
+            groups_by_domain.setdefault(head.domain, []).append(group)
+        return groups_by_domain
 
-    def _list_groups(
+    def _list_active_groups(
         self, groups: Iterable[ManagedGroup], now: float
     ) -> tuple[PlacedGroup, ...]:
-        """Return those groups of a domain that serve or form."""
-        passing = (Phase.CLOSING, Phase.CLEARING, Phase.STANDBY)
+        """Return the groups of a domain that serve or are being formed."""
+        transitional = (Phase.CLOSING, Phase.CLEARING, Phase.STANDBY)
         placed = []
         for group in groups:
-            if group.phase in passing:
+            if group.phase in transitional:
                 continue
-            has_settled = now - group.served_at >= SETTLED_S
-            is_serving = group.phase is Phase.SERVING and has_settled
+            has_served_enough = now - group.served_at >= MIN_SERVING_S
+            is_serving = group.phase is Phase.SERVING and has_served_enough
             placed.append(
                 PlacedGroup(
                     group=group.name,
                     model=group.model,
                     members=tuple(
-                        self._describe(one, is_standby=False)
-                        for one in group.members
+                        self._describe_host(server, is_standby=False)
+                        for server in group.members
                     ),
                     requests=self._requests.get(group.head, 0),
-                    may_move=is_serving and group.doubted is None,
+                    may_dissolve=is_serving and group.doubted is None,
                 )
             )
         return tuple(placed)
 
-    def _describe(self, server: str, *, is_standby: bool) -> FreeHost:
-        """Return what a host holds."""
+    def _describe_host(self, server: str, *, is_standby: bool) -> FreeHost:
+        """Return a host with the models that it holds."""
         entry = self._hosts.servers.get(server)
         return FreeHost(
             server=server,
@@ -339,45 +362,45 @@
             is_standby=is_standby,
         )
 
-    def _waits_for(self, unheard: Iterable[str], now: float) -> bool:
-        """Tell whether a domain should wait for hosts that have not reported.
+    def _should_wait_for(self, unheard: Iterable[str], now: float) -> bool:
+        """Return whether a domain should wait for hosts that have not reported.
 
-        A host that was asked a moment ago may complete a group; one that does
-        not answer must not hold up the others of its domain.
+        A host that was queried a moment ago may complete a group; a host that
+        does not answer must not delay the others of its domain.
         """
         waits = False
         for server in unheard:
-            since = self._unheard.setdefault(server, now)
+            since = self._query_times.setdefault(server, now)
             is_new = now - since < REPORT_WAIT_S
             waits = waits or (is_new and self._hosts.is_answering(server))
         return waits
 
     def _find_members(self) -> tuple[set[str], set[str]]:
-        """Return the hosts that groups hold, and those that stand by."""
-        taken: set[str] = set()
+        """Return the members of groups and the standby hosts."""
+        occupied: set[str] = set()
         standby: set[str] = set()
         for group in self._groups.values():
             if group.phase is Phase.STANDBY:
                 standby.update(group.members)
             elif group.phase is Phase.CLEARING:
-                taken.update(group.awaited)
+                occupied.update(group.awaited)
             else:
-                taken.update(group.members)
-        return taken, standby
+                occupied.update(group.members)
+        return occupied, standby
 
     def _list_free(
         self,
         hosts: Iterable[BackendServer],
-        taken: set[str],
+        occupied: set[str],
         standby: set[str],
     ) -> list[FreeHost]:
-        """Return the hosts that are in no group, or stand by."""
+        """Return the hosts that are in no group, and the standby hosts."""
         free = []
         for host in hosts:
-            if host.server in taken or self._board.is_unknown_member(host):
+            if host.server in occupied or self._board.is_unknown_member(host):
                 continue
             is_standby = host.server in standby
-            free.append(self._describe(host.server, is_standby=is_standby))
+            free.append(self._describe_host(host.server, is_standby=is_standby))
         return free
 
     def _choose_stagings(
@@ -388,7 +411,10 @@
         needs: Mapping[str, float],
         now: float,
     ) -> tuple[Staging, ...]:
-        """Return which hosts stage a second model, the most wanted first."""
+        """Return the hosts that should stage a second model.
+
+        Models with the fewest groups for their demand come first.
+        """
         counts = _count_groups(placed)
         rates = {name: counts[name] / needs[name] for name in engine.models}
         hosts = [
@@ -397,13 +423,13 @@
             )
             for servers in domains.values()
             for host in servers
-            if self._has_settled(host)
+            if self._has_loaded_model(host)
         ]
         chosen = self._stagings.choose(hosts, engine, rates, now)
         return tuple(Staging(server, order) for server, order in chosen)
 
-    def _has_settled(self, host: BackendServer) -> bool:
-        """Tell whether a host has a model in memory and loads none."""
+    def _has_loaded_model(self, host: BackendServer) -> bool:
+        """Return whether a host has a model in memory and loads none."""
         membership = host.membership
         is_joining = (
             membership is not None and membership.state is MemberState.JOINING
@@ -412,5 +438,5 @@
 
 
 def _count_groups(domains: Iterable[DomainHosts]) -> Counter[str]:
-    """Return the groups of each model that serve or form."""
+    """Return how many groups of each model serve or are being formed."""
     return Counter(group.model for domain in domains for group in domain.groups)
--- a/chervilrock/decisions/serving/shortage.py
+++ b/chervilrock/decisions/serving/shortage.py
@@ -1,41 +1,43 @@
-"""Whether requests that could be on time find no place at this node.
+"""Detects that requests that could be on time get no slot from this node.
 
-Load pattern: more requests come than the open groups of a model can serve,
-for seconds. Each slot that a late request gets then makes another one late,
-which comes back late itself: the groups are as busy as ever, and hardly an
-answer is in time. Groups that are merely well filled are no reason to turn a
-late request away.
+Load pattern: for some seconds more requests arrive than the open groups of a
+model can serve. Each slot that a late request gets then makes another request
+late, whose caller retries and is late again: the groups stay busy, but hardly
+any answer is on time. Groups that are merely well filled are no reason to
+reject a late request.
 """
 
-CALM_S = 0.5
-"""Time without a missed request after which a shortage is over."""
+RECOVERY_S = 0.5
+"""Time without a missed request after which a shortage ends."""
 
 
 class Shortages:
-    """Requests that missed their time for want of a place, by model."""
+    """Shortages of slots by model, detected by requests that were late."""
 
     def __init__(self) -> None:
-        """Know of none."""
-        self._began: dict[str, float] = {}
-        self._last: dict[str, float] = {}
+        """Create a registry without shortages."""
+        self._started_at: dict[str, float] = {}
+        self._last_missed: dict[str, float] = {}
 
     def note_missed(self, model: str, now: float) -> None:
-        """Note that a request got no place while it could be on time."""
+        """Record that a request got no slot while it could be on time."""
         if not self.is_short(model, now):
-            self._began[model] = now
-        self._last[model] = now
+            self._started_at[model] = now
+        self._last_missed[model] = now
 
     def is_short(self, model: str, now: float) -> bool:
-        """Tell whether places of a model are short."""
-        last = self._last.get(model)
-        return last is not None and now - last <= CALM_S
+        """Return whether a model has a shortage of slots."""
+        last = self._last_missed.get(model)
+        return last is not None and now - last <= RECOVERY_S
 
     def list_short(self, now: float) -> tuple[str, ...]:
-        """Return the models whose places are short."""
-        return tuple(one for one in self._last if self.is_short(one, now))
+        """Return the models that have a shortage of slots."""
+        return tuple(
+            model for model in self._last_missed if self.is_short(model, now)
+        )
 
     def find_duration(self, model: str, now: float) -> float:
-        """Return for how long places have been short, in seconds."""
+        """Return for how long a model has had a shortage, in seconds."""
         if not self.is_short(model, now):
             return 0.0
-        return now - self._began[model]
+        return now - self._started_at[model]
--- a/chervilrock/decisions/serving/site.py
+++ b/chervilrock/decisions/serving/site.py
@@ -1,7 +1,7 @@
-"""What a node knows of its installation: routes, services, keys, servers.
+"""Types of an installation: routes, services, keys and servers.
 
-These are the project's own types. The adapter makes them from the documents
-of the platform; nothing here knows how those are spelled.
+These are the project's own types. The adapter creates them from the documents
+of the platform and hides the format of these documents.
 """
 
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be retried."""
 
     STREAM = "stream"
     IDEMPOTENT = "idempotent"
@@ -31,17 +31,17 @@
       name: name of the route.
       host: host name in lower case.
       prefix: beginning of the paths, with a slash at both ends.
-      kind: what may be repeated.
+      kind: which requests may be retried.
       services: services and their weights, at least one.
-      timeout_s: longest time for a request in seconds.
-      target_s: time in seconds to the answer, or to the first event, that
-        counts as on time.
+      timeout_s: longest time for a request, in seconds.
+      target_s: longest time to the answer, or to the first event, that counts
+        as on time, in seconds.
       longest_pause_s: longest pause between two events that counts as on
-        time, in seconds; 0 when it is not given.
+        time, in seconds; 0 if it is not configured.
       priority: rank of the requests, 0 is the highest.
       max_attempts: greatest number of servers that may get one request.
-      is_public: whether no key is asked for.
-      is_resumable: whether a broken stream may go on at another server.
+      is_public: whether requests need no key.
+      is_resumable: whether an interrupted stream may resume at another server.
     """
 
     name: str
@@ -67,8 +67,8 @@
     """A customer.
 
     Attributes:
-      name: name that backend servers are told.
-      priority: rank that replaces that of the route, None to keep it.
+      name: name that is passed to backend servers.
+      priority: rank that overrides that of the route, None to keep it.
     """
 
     name: str
@@ -76,13 +76,14 @@
 
 
 class ModelShape(NamedTuple):
-    """What a replica of a model needs.
+    """Hosts and load times of a replica of a model.
 
     Attributes:
       name: name of the model.
       size: number of hosts of one replica.
-      pace: factor on all times of an engine.
-      share: part of the work that is expected at the start.
+      time_factor: factor on all times of an engine; 1.0 is nominal, 2.0 takes
+        twice as long.
+      share: expected share of the workload at the start.
       load_s: time to load the weights from the weight store, in seconds.
       warm_s: time to load them from the host, in seconds.
     """
@@ -96,21 +97,21 @@
 
 
 class EngineProfile(NamedTuple):
-    """How the engines of a service work.
+    """Performance and capacity of the engines of a service.
 
     Attributes:
-      slots: requests that a group runs at once.
+      slots: number of requests that a group runs at once.
       step_s: time of a step without requests, in seconds.
       per_request_s: time that each running request adds to a step.
       steps_per_pass: steps between two events of a stream.
-      prompt_tokens_per_s: prompt tokens that are read a second.
-      prompt_chunk: most prompt tokens that are read in a step.
+      prompt_tokens_per_s: prompt tokens that are processed a second.
+      prompt_chunk: greatest number of prompt tokens that a step processes.
       usual_prompt_tokens: mean length of a prompt.
       form_s: time from the order to open until a group serves, in seconds.
       loads_per_s: loads from the weight store that may start a second.
-      loads_at_once: loads at once that do not slow each other.
-      staged_models: models whose weights a host keeps, beside the one that its
-        server has in memory.
+      loads_at_once: concurrent loads that do not slow each other down.
+      staged_models: number of models whose weights a host keeps, besides the
+        one that its server has in memory.
       models: models by name.
     """
 
@@ -133,7 +134,7 @@
 
     Attributes:
       name: name of the service.
-      engine: how its engines work, None for a plain service.
+      engine: profile of its engines, None for a plain service.
     """
 
     name: str
@@ -141,10 +142,10 @@
 
 
 class Limits(NamedTuple):
-    """Bounds for what a caller sends.
+    """Limits on the connections of callers.
 
     Attributes:
-      idle_s: time for which a connection may stay idle, in seconds.
+      idle_s: time for which a connection may be idle, in seconds.
     """
 
     idle_s: float
@@ -157,8 +158,8 @@
       revision: number that grows with each configuration.
       routes: all routes.
       services: services by name.
-      keys: workspaces by key, None when no keys are asked for.
-      limits: bounds for callers.
+      keys: workspaces by key, None if no keys are required.
+      limits: limits on the connections of callers.
     """
 
     revision: int
@@ -195,21 +196,21 @@
 
 
 class BackendServer(NamedTuple):
-    """A backend server as its entry in the store tells.
+    """A backend server as described by its entry in the store.
 
     Attributes:
       server: identifier of the server.
       service: service that it belongs to.
       address: IP:port.
-      data_centre: where it stands.
+      data_centre: data centre of its host.
       domain: fabric domain, empty for a plain service.
-      is_leaving: whether it takes no new work soon.
-      slots: requests that it runs at once.
+      is_leaving: whether it will soon accept no new requests.
+      slots: number of requests that it runs at once.
       staged: models whose weights are on the host.
       membership: its group, None when it is in none.
-      born: when it started, in milliseconds since the epoch; 0 when it does
-        not tell. A server may start again under its identifier, and then
-        holds and knows nothing of before.
+      started_ms: when it started, in milliseconds since the epoch; 0 if it
+        does not report this. A server may restart under the same identifier,
+        and then has none of its former state.
       writes: how often it has written its entry since its start.
     """
 
--- a/chervilrock/decisions/serving/staging.py
+++ b/chervilrock/decisions/serving/staging.py
@@ -1,13 +1,13 @@
-"""Which hosts put the weights of a second model on themselves.
+"""Chooses the hosts that stage the weights of a second model.
 
-A server has one model in memory and keeps others on its host. One that keeps
-the model which it has in memory anyway can serve no other one for the ten
-seconds and more of a load; one that keeps another model serves either within
-two seconds.
+A server has one model in memory and keeps the weights of others on its host. A
+host that keeps only the model in its memory cannot serve another one before a
+load of ten seconds or more; a host that keeps another model can serve either
+within two seconds.
 
 Load pattern: two hosts are lost every three seconds, mostly members of
-different groups. The survivors of a group of four held weights that no other
-host of their domain had, and stood idle beside it for the rest of the day.
+different groups. Without staging, the survivors of a group of four held weights
+that no other host of their domain had, and stayed idle for the rest of the day.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,16 +17,17 @@
 from chervilrock.decisions.serving.site import EngineProfile
 
 RETRY_S = 2.0
-"""Time after which an order to stage that failed is given again; a host that
-was told twice has loaded once."""
+"""Time after which a failed order to stage is sent again; a host that gets the
+order twice loads the weights once."""
 
-STAGE_MARGIN = 1.5
-"""Factor on the time of a load after which a host that does not report the
-weights is told again; more loads than the weight store likes take longer."""
+LOAD_TIME_MARGIN = 1.5
+"""Factor on the duration of a load after which the order is sent again to a
+host that has not reported the weights. Loads take longer when more of them run
+than the weight store can serve at full speed."""
 
 
 class HostWeights(NamedTuple):
-    """The weights that a host holds.
+    """The model weights of a host.
 
     Attributes:
       server: identifier of its server.
@@ -44,24 +45,24 @@
 
     Attributes:
       model: the model.
-      until: when it is over at the latest.
-      is_begun: whether the server has begun.
+      until: time at which the order expires.
+      has_started: whether the server may have started the load.
     """
 
     model: str
     until: float
-    is_begun: bool
+    has_started: bool
 
 
-def choose_second(
-    host: HostWeights, engine: EngineProfile, shortage: Mapping[str, float]
+def choose_model_to_stage(
+    host: HostWeights, engine: EngineProfile, sort_keys: Mapping[str, float]
 ) -> str:
     """Return the model that a host should stage, empty for none.
 
     Args:
-      host: the host.
+      host: the host and its weights.
       engine: models that are served, and how many a host keeps.
-      shortage: what orders the models; a smaller number comes first.
+      sort_keys: sort key of each model; smaller numbers come first.
     """
     known = [name for name in host.staged if name in engine.models]
     others = [name for name in known if name != host.loaded]
@@ -72,78 +73,80 @@
         for name in engine.models
         if name != host.loaded and name not in host.staged
     ]
-    return min(missing, key=lambda one: shortage.get(one, 0.0), default="")
+    return min(missing, key=lambda name: sort_keys.get(name, 0.0), default="")
 
 
 class StagingBook:
-    """Orders to stage that are under way."""
+    """Tracks orders to stage that are in progress."""
 
     def __init__(self) -> None:
-        """Know of none."""
-        self._under_way: dict[str, _Staging] = {}
+        """Create a tracker without orders."""
+        self._in_progress: dict[str, _Staging] = {}
 
     def count(self, now: float) -> int:
-        """Return the loads that are under way."""
-        for server, staging in list(self._under_way.items()):
+        """Return the number of loads in progress."""
+        for server, staging in list(self._in_progress.items()):
             if staging.until <= now:
-                del self._under_way[server]
-        return sum(1 for one in self._under_way.values() if one.is_begun)
+                del self._in_progress[server]
+        return sum(
+            1 for staging in self._in_progress.values() if staging.has_started
+        )
 
     def choose(
         self,
         hosts: Iterable[HostWeights],
         engine: EngineProfile,
-        shortage: Mapping[str, float],
+        sort_keys: Mapping[str, float],
         now: float,
     ) -> list[tuple[str, Stage]]:
-        """Return orders to stage, by server, the most wanted first.
+        """Return the servers and their orders to stage, lowest sort key first.
 
         Args:
           hosts: hosts that have a model in memory and load none.
           engine: models that are served.
-          shortage: what orders the models; a smaller number comes first.
+          sort_keys: sort key of each model; smaller numbers come first.
           now: present time.
         """
         orders = []
         for host in hosts:
-            staging = self._under_way.get(host.server)
+            staging = self._in_progress.get(host.server)
             if staging is not None and staging.model in host.staged:
-                del self._under_way[host.server]
+                del self._in_progress[host.server]
             elif staging is not None and staging.until > now:
                 continue
-            model = choose_second(host, engine, shortage)
+            model = choose_model_to_stage(host, engine, sort_keys)
             if model:
                 orders.append((host.server, Stage(model)))
         return sorted(
-            orders, key=lambda one: (shortage.get(one[1].model, 0.0), one)
+            orders, key=lambda item: (sort_keys.get(item[1].model, 0.0), item)
         )
 
     def note_ordered(
         self, server: str, model: str, load_s: float, now: float
     ) -> None:
-        """Note that a server was told to stage a model.
+        """Record that a server was ordered to stage a model.
 
         Args:
-          server: the server.
-          model: what it loads.
-          load_s: usual time of the load, in seconds.
+          server: identifier of the server.
+          model: model to stage.
+          load_s: usual duration of the load, in seconds.
           now: present time.
         """
-        until = now + STAGE_MARGIN * load_s + RETRY_S
-        self._under_way[server] = _Staging(model, until, True)
+        until = now + LOAD_TIME_MARGIN * load_s + RETRY_S
+        self._in_progress[server] = _Staging(model, until, True)
 
     def note_reply(
         self, server: str, order: Stage, reply: OrderReply | None, now: float
     ) -> None:
-        """Take the answer to an order to stage, None when there was none."""
-        staging = self._under_way.get(server)
+        """Record the reply to an order to stage, None if there was none."""
+        staging = self._in_progress.get(server)
         if staging is None or staging.model != order.model:
             return
         if reply in (OrderReply.STARTED, OrderReply.DONE, None):
-            # Without an answer it may have begun all the same.
+            # Without a reply, the server may have started the load anyway.
             return
-        self._under_way[server] = _Staging(order.model, now + RETRY_S, False)
+        self._in_progress[server] = _Staging(order.model, now + RETRY_S, False)
 
     def forget(self, server: str) -> None:
-        """Forget a server that is gone or has started again."""
-        self._under_way.pop(server, None)
+        """Forget the order to a server that was lost or has restarted."""
+        self._in_progress.pop(server, None)
--- a/test/decisions/serving/test_failures.py
+++ b/test/decisions/serving/test_failures.py
@@ -1,4 +1,4 @@
-"""Groups that fail all they get, against placing by fullness alone."""
+"""Avoidance of failing groups, compared with placement by load alone."""
 
 import random
 
@@ -13,11 +13,11 @@
 )
 
 from chervilrock.decisions.serving.failures import (
+    BACKOFF_FACTOR,
     Failures,
-    FIRST_S,
-    GROWTH,
+    FIRST_AVOIDANCE_S,
     leave_out,
-    LONGEST_S,
+    MAX_AVOIDANCE_S,
 )
 from chervilrock.decisions.serving.placement import choose, GROUP_BOUND, Load
 from chervilrock.decisions.serving.view import GroupEndpoint
@@ -25,14 +25,14 @@
 SLOTS = 24
 GROUPS = 12
 FAILING = frozenset({"g0", "g5"})
-PER_S = 20.0
+REQUESTS_PER_S = 20.0
 ANSWER_S = 0.8
 FAILURE_S = 0.03
-PLAY_S = 6.0
+REPLAY_S = 6.0
 
 
-def replay(*, learns: bool) -> float:
-    """Return the part of one node's sends that fail."""
+def replay(*, avoids_failing: bool) -> float:
+    """Return the fraction of one node's sends that fail."""
     groups = [
         GroupEndpoint(f"g{n}", n, "m", "s", f"g{n}", f"a{n}", "d")
         for n in range(GROUPS)
@@ -43,21 +43,21 @@
     running: list[tuple[float, str]] = []
     sends = failed = 0
     now = 0.0
-    while now < PLAY_S:
-        now += generator.expovariate(PER_S)
-        for end, name in [one for one in running if one[0] <= now]:
+    while now < REPLAY_S:
+        now += generator.expovariate(REQUESTS_PER_S)
+        for end, name in [item for item in running if item[0] <= now]:
             running.remove((end, name))
             if name not in FAILING:
                 failures.note_success(name)
-            elif learns:
+            elif avoids_failing:
                 avoided[name] = end + failures.note_failure(name)
         loads = [name for _, name in running]
         failing = {name for name, end in avoided.items() if end > now}
         choice = choose(
-            [one for one in groups if one.group not in failing],
-            lambda one, loads=loads: Load(  # type: ignore[misc]
-                loads.count(one.group),
-                0 if one.group in FAILING else 8,
+            [group for group in groups if group.group not in failing],
+            lambda group, loads=loads: Load(  # type: ignore[misc]
+                loads.count(group.group),
+                0 if group.group in FAILING else 8,
                 SLOTS,
                 False,
             ),
@@ -75,27 +75,30 @@
     return failed / sends
 
 
-def test_groups_that_fail_draw_few_requests() -> None:
-    assert_that(replay(learns=False), GreaterThan(0.25))
-    assert_that(replay(learns=True), LessThan(0.1))
+def test_failing_groups_get_few_requests() -> None:
+    assert_that(replay(avoids_failing=False), GreaterThan(0.25))
+    assert_that(replay(avoids_failing=True), LessThan(0.1))
 
 
-def test_a_group_is_avoided_longer_each_time_up_to_a_bound() -> None:
+def test_the_time_of_avoidance_grows_up_to_a_limit() -> None:
     failures = Failures()
     times = [failures.note_failure("g") for _ in range(12)]
-    assert_that(times[:2], Equals([FIRST_S, FIRST_S * GROWTH]))
-    assert_that(times[-1], Equals(LONGEST_S))
+    assert_that(
+        times[:2],
+        Equals([FIRST_AVOIDANCE_S, FIRST_AVOIDANCE_S * BACKOFF_FACTOR]),
+    )
+    assert_that(times[-1], Equals(MAX_AVOIDANCE_S))
 
 
-def test_a_success_makes_up_for_all_failures() -> None:
+def test_a_success_resets_the_failures() -> None:
     failures = Failures()
     for _ in range(5):
         failures.note_failure("g")
     failures.note_success("g")
-    assert_that(failures.note_failure("g"), Equals(FIRST_S))
+    assert_that(failures.note_failure("g"), Equals(FIRST_AVOIDANCE_S))
 
 
-def test_groups_that_are_gone_are_forgotten() -> None:
+def test_failures_of_removed_groups_are_forgotten() -> None:
     failures = Failures()
     for name in ("g", "h"):
         failures.note_failure(name)
@@ -106,15 +109,15 @@
 @pytest.mark.parametrize(
     ("failing", "left"), [("", "abcd"), ("ab", "cd"), ("abc", "abcd")]
 )
-def test_no_more_than_half_of_the_groups_are_left_out(
+def test_at_most_half_of_the_groups_are_excluded(
     failing: str, left: str
 ) -> None:
-    # Requests that fail everywhere must close no group.
-    kept = leave_out("abcd", lambda one: one in failing)
+    # Requests that fail at all groups must not exclude any group.
+    kept = leave_out("abcd", lambda group: group in failing)
     assert_that("".join(kept), Equals(left))
 
 
-def test_a_request_waits_rather_than_go_to_a_group_that_fails() -> None:
+def test_a_request_waits_instead_of_going_to_a_failing_group() -> None:
     full = Load(0, SLOTS, SLOTS, False)
     empty = Load(0, 0, SLOTS, False)
     groups = [
@@ -122,8 +125,8 @@
         for n in range(3)
     ]
     choice = choose(
-        leave_out(groups, lambda one: one.group == "g0"),
-        lambda one: empty if one.group == "g0" else full,
+        leave_out(groups, lambda group: group.group == "g0"),
+        lambda group: empty if group.group == "g0" else full,
         data_centre="d",
         avoided=frozenset(),
         bound=GROUP_BOUND,
--- a/test/decisions/serving/test_lateness.py
+++ b/test/decisions/serving/test_lateness.py
@@ -1,4 +1,4 @@
-"""How requests stand after their callers have waited."""
+"""Timeliness of requests, and waits before retries."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 def make_limits(count: int) -> list[float]:
-    """Return time limits of callers who come first; they differ somewhat."""
+    """Return time limits of first attempts, which differ slightly."""
     generator = random.Random(2)
     return [generator.uniform(0.85, 1.0) * LIMIT_S for _ in range(count)]
 
@@ -36,7 +36,7 @@
         (True, 3.0, Standing.BEGUN),
     ],
 )
-def test_a_request_stands_by_what_its_caller_has(
+def test_timeliness_depends_on_events_and_time_waited(
     has_begun: bool, waited_s: float, standing: Standing
 ) -> None:
     judged = judge_standing(
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("known", [0, 4, 64])
-def test_callers_who_come_first_have_not_waited(known: int) -> None:
+def test_first_attempts_have_no_previous_wait(known: int) -> None:
     usual = UsualLimits()
     for limit_s in make_limits(known):
         usual.note("r", limit_s)
@@ -57,8 +57,9 @@
     assert_that(max(waits), Equals(0.0))
 
 
-def test_callers_who_come_back_after_an_outage_are_known() -> None:
-    # They were away for two seconds, and a node has just started.
+def test_retries_after_an_outage_are_recognized_as_late() -> None:
+    # The callers waited for two seconds of an outage, and the node has just
+    # started.
     usual = UsualLimits()
     late = 0
     for limit_s in make_limits(100):
@@ -68,15 +69,15 @@
     assert_that(late, Equals(100))
 
 
-def test_limits_of_one_route_say_nothing_of_another() -> None:
+def test_limits_of_one_route_do_not_affect_another() -> None:
     usual = UsualLimits()
     for _ in range(64):
         usual.note("long", 60.0)
     assert_that(usual.estimate_wait("short", 5.5, LIMIT_S), Equals(0.0))
 
 
-def test_a_cut_stream_takes_a_place_that_a_new_request_does_not() -> None:
-    # All groups of a model run as many requests as they have slots.
+def test_an_interrupted_stream_may_exceed_the_bound_of_new_requests() -> None:
+    # All slots of the groups of a model are busy.
     full = Load(own=2, others=7, slots=9, is_doubtful=False)
     cut = find_group_bound(Standing.BEGUN, nodes=7)
     assert_that(cut == BEGUN_BOUND, Is(True))
@@ -84,7 +85,7 @@
     assert_that(GROUP_BOUND.allows(full), Is(False))
 
 
-def test_a_late_request_takes_any_place_after_a_while() -> None:
+def test_a_late_request_gets_any_free_slot_after_a_while() -> None:
     filled = Load(own=0, others=8, slots=9, is_doubtful=False)
     early = find_group_bound(Standing.LATE, nodes=7)
     later = find_group_bound(Standing.LATE, nodes=7, waited_s=LATE_PATIENCE_S)
@@ -92,7 +93,7 @@
     assert_that(later.allows(filled), Is(True))
 
 
-def test_no_late_request_takes_a_place_that_one_on_time_lacks() -> None:
+def test_a_late_request_gets_no_slot_during_a_shortage() -> None:
     filled = Load(own=0, others=8, slots=9, is_doubtful=False)
     bound = find_group_bound(
         Standing.LATE, nodes=7, waited_s=5.0, is_short=True
--- a/test/decisions/serving/test_placement.py
+++ b/test/decisions/serving/test_placement.py
@@ -1,4 +1,4 @@
-"""Placing under load, against the former ways on the same arrivals."""
+"""Placement under load, compared with simpler policies on the same arrivals."""
 
 import collections
 import heapq
@@ -14,7 +14,7 @@
     choose,
     find_group_bound,
     GROUP_BOUND,
-    LATE_PART,
+    LATE_FRACTION,
     Load,
 )
 from chervilrock.decisions.serving.view import GroupEndpoint
@@ -25,7 +25,7 @@
 STEP_S = 0.00364
 PER_REQUEST_S = 0.00029
 PREFILL_S = 0.025
-NEWS_S = 0.25
+ANNOUNCEMENT_INTERVAL_S = 0.25
 
 
 def make_groups(count: int) -> list[GroupEndpoint]:
@@ -36,13 +36,18 @@
 
 
 class Batches:
-    """Groups in the time model of the engines, coarsely: a request holds its
-    place for the prompts before it and its tokens at the pace of the batch."""
+    """Groups in a coarse time model of the engines.
+
+    A request keeps its slot while the prompts before it are processed and while
+    its tokens are generated at the speed of the batch.
+    """
 
     def __init__(self, groups: list[GroupEndpoint]) -> None:
         self.running: collections.Counter[str] = collections.Counter()
         self.ends: list[tuple[float, str]] = []
-        self.reading: dict[str, float] = {one.server: 0.0 for one in groups}
+        self.prompts_until: dict[str, float] = {
+            one.server: 0.0 for one in groups
+        }
 
     def advance(self, now: float) -> None:
         while self.ends and self.ends[0][0] <= now:
@@ -52,21 +57,23 @@
     def start(self, server: str, now: float) -> float:
         """Start a request and return when its first event comes."""
         self.running[server] += 1
-        begin = max(now, self.reading[server])
-        self.reading[server] = begin + PREFILL_S
+        start_time = max(now, self.prompts_until[server])
+        self.prompts_until[server] = start_time + PREFILL_S
         step = STEP_S + PER_REQUEST_S * self.running[server]
-        first = self.reading[server] + 5 * step
+        first = self.prompts_until[server] + 5 * step
         heapq.heappush(self.ends, (first + TOKENS * step, server))
         return first
 
 
-def replay_start(late_part: float, *, waiting: int, per_s: float) -> float:
-    """Return the part of new requests on time after an outage has ended."""
+def replay_start(
+    late_fraction: float, *, late_requests: int, per_s: float
+) -> float:
+    """Return the fraction of new requests on time after an outage."""
     groups = make_groups(6)
     batches = Batches(groups)
     generator = random.Random(3)
-    backlog = [-1.0] * waiting
-    on_time = asked = 0
+    backlog = [-1.0] * late_requests
+    on_time = arrived_count = 0
     now = 0.0
     next_arrival = 0.0
     fresh: list[float] = []
@@ -86,7 +93,7 @@
         batches.advance(now)
         while next_arrival <= now:
             fresh.append(next_arrival)
-            asked += 1
+            arrived_count += 1
             next_arrival += 1 / per_s
         for arrived in list(fresh):
             server = place(GROUP_BOUND)
@@ -96,23 +103,23 @@
             first = batches.start(server, now)
             on_time += first - arrived <= TARGET_S
         while backlog:
-            server = place(Bound(late_part, 1.0))
+            server = place(Bound(late_fraction, 1.0))
             if server is None:
                 break
             backlog.pop()
             batches.start(server, now)
         now = round(now + 0.01, 6)
-    return on_time / asked
+    return on_time / arrived_count
 
 
-def test_late_requests_leave_room_for_those_that_can_be_on_time() -> None:
-    former = replay_start(1.0, waiting=100, per_s=75.0)
-    kept = replay_start(LATE_PART, waiting=100, per_s=75.0)
-    assert_that(kept, GreaterThan(0.9))
-    assert_that(former, LessThan(kept - 0.05))
+def test_late_requests_leave_slots_for_those_that_can_be_on_time() -> None:
+    baseline = replay_start(1.0, late_requests=100, per_s=75.0)
+    with_bound = replay_start(LATE_FRACTION, late_requests=100, per_s=75.0)
+    assert_that(with_bound, GreaterThan(0.9))
+    assert_that(baseline, LessThan(with_bound - 0.05))
 
 
-def test_only_late_requests_keep_to_the_share_of_their_node() -> None:
+def test_only_late_requests_are_limited_to_the_share_of_a_node() -> None:
     fresh = find_group_bound(Standing.ON_TIME, nodes=9)
     late = find_group_bound(Standing.LATE, nodes=9)
     assert_that(fresh == GROUP_BOUND, Is(True))
@@ -124,27 +131,27 @@
 
 
 @pytest.mark.parametrize("total", [SLOTS - 1, SLOTS])
-def test_a_group_takes_as_many_requests_as_it_has_slots(total: int) -> None:
+def test_a_group_accepts_as_many_requests_as_it_has_slots(total: int) -> None:
     load = Load(total, 0, SLOTS, False)
     assert_that(GROUP_BOUND.allows(load), Is(total < SLOTS))
 
 
-def replay_stale_news(nodes: int, *, sampled: bool) -> int:
-    """Return the fullest batch when all nodes know the same old loads."""
+def replay_stale_loads(nodes: int, *, sampled: bool) -> int:
+    """Return the largest batch when all nodes have the same stale loads."""
     groups = [one._replace(data_centre="d0") for one in make_groups(9)]
     generator = random.Random(5)
     running: collections.Counter[str] = collections.Counter()
-    told: collections.Counter[str] = collections.Counter()
+    announced: collections.Counter[str] = collections.Counter()
     fullest = 0
 
     def find_load(one: GroupEndpoint) -> Load:
-        return Load(0, told[one.server], 1000, False)
+        return Load(0, announced[one.server], 1000, False)
 
     for step in range(4000):
         now = step * 0.005
-        if step % int(NEWS_S / 0.005) == 0:
-            told.clear()
-            told.update(running)
+        if step % int(ANNOUNCEMENT_INTERVAL_S / 0.005) == 0:
+            announced.clear()
+            announced.update(running)
         if step >= 200:
             ended = generator.choice(sorted(running.elements()))
             running[ended] -= 1
@@ -160,20 +167,20 @@
             assert choice is not None
             server = choice.endpoint.server
         else:
-            server = min(groups, key=lambda one: told[one.server]).server
+            server = min(groups, key=lambda one: announced[one.server]).server
         running[server] += 1
         if now > 2.0:
             fullest = max(fullest, max(running.values()))
     return fullest
 
 
-def test_nodes_with_news_of_the_same_age_do_not_all_choose_the_same() -> None:
-    former = replay_stale_news(77, sampled=False)
-    drawn = replay_stale_news(77, sampled=True)
-    assert_that(drawn, LessThan(former))
+def test_nodes_with_the_same_stale_loads_choose_different_groups() -> None:
+    baseline = replay_stale_loads(77, sampled=False)
+    sampled_max = replay_stale_loads(77, sampled=True)
+    assert_that(sampled_max, LessThan(baseline))
 
 
-def test_a_doubted_group_is_taken_only_when_there_is_no_other() -> None:
+def test_a_deprioritized_group_is_chosen_only_if_there_is_no_other() -> None:
     groups = make_groups(2)
 
     def find_load(group: GroupEndpoint) -> Load:
@@ -204,7 +211,7 @@
     assert_that(alone.endpoint == groups[0], Is(True))
 
 
-def test_full_groups_take_nothing() -> None:
+def test_full_groups_get_no_requests() -> None:
     choice = choose(
         make_groups(3),
         lambda one: Load(3, SLOTS - 3, SLOTS, False),
--- a/test/decisions/serving/test_plan.py
+++ b/test/decisions/serving/test_plan.py
@@ -1,4 +1,4 @@
-"""Which groups are formed of which hosts, and which are taken apart."""
+"""Assignment of hosts to groups, and groups that are dissolved."""
 
 from collections import Counter
 
@@ -15,18 +15,18 @@
 )
 from test.decisions.serving.fleet import LARGE, SMALL
 
-EVEN = {"large": 1.0, "small": 1.0}
-PRESSED = frozenset({"large"})
+EVEN_NEEDS = {"large": 1.0, "small": 1.0}
+OVERLOADED = frozenset({"large"})
 
 
 def make_host(name: str, *models: str, standby: bool = False) -> FreeHost:
-    """Return a host with a model in memory and others on its disk."""
+    """Return a host with the first model in memory and others on its disk."""
     loaded = models[0] if models else ""
     return FreeHost(name, loaded, models[1:] or models, standby)
 
 
 def make_group(name: str, model: str, size: int, requests: int = 3):
-    """Return a group whose hosts hold both models."""
+    """Return a group whose hosts have the weights of both models."""
     other = "small" if model == "large" else "large"
     members = tuple(make_host(f"{name}-{n}", model, other) for n in range(size))
     return PlacedGroup(name, model, members, requests, True)
@@ -34,17 +34,17 @@
 
 def plan(
     *domains: DomainHosts,
-    needs: dict[str, float] = EVEN,
+    needs: dict[str, float] = EVEN_NEEDS,
     may_load: bool = False,
-    pressed: frozenset[str] = frozenset(),
+    overloaded: frozenset[str] = frozenset(),
 ) -> ServicePlan:
-    """Plan for the two models of the tests."""
+    """Return a plan for the two models of the tests."""
     return plan_service(
         domains,
         models=(LARGE, SMALL),
         needs=needs,
         may_load=may_load,
-        pressed=pressed,
+        overloaded=overloaded,
     )
 
 
@@ -64,7 +64,7 @@
 ) -> None:
     free = tuple(make_host(f"h{n}") for n in range(hosts))
     planned = plan(DomainHosts("d", free, ()), may_load=True)
-    formed = Counter(one.model for one in planned.formations)
+    formed = Counter(formation.model for formation in planned.formations)
     assert_that(dict(formed), Equals(groups))
 
 
@@ -78,7 +78,7 @@
     assert_that(set(formation.members), Equals({"h0", "h1", "h2", "s"}))
 
 
-def test_survivors_get_a_host_that_holds_their_model_on_its_disk() -> None:
+def test_survivors_form_a_group_with_a_host_that_staged_their_model() -> None:
     free = [make_host(f"h{n}", "large") for n in range(3)]
     free.append(make_host("t", "small", "large", standby=True))
     groups = (make_group("g", "small", 2),)
@@ -87,17 +87,21 @@
     assert_that(set(formation.members), Equals({"h0", "h1", "h2", "t"}))
 
 
-def test_an_empty_host_completes_the_group_that_lacks_one() -> None:
+def test_an_empty_host_loads_the_model_whose_group_lacks_one_host() -> None:
     free = [make_host(f"h{n}", "large") for n in range(3)] + [make_host("e")]
     groups = (make_group("g", "small", 2),)
     planned = plan(DomainHosts("d", tuple(free), groups))
-    loads = [one for one in planned.preparations if one.needs_load]
+    loads = [
+        preparation
+        for preparation in planned.preparations
+        if preparation.needs_load
+    ]
     assert_that(
-        [(one.server, one.model) for one in loads], Equals([("e", "large")])
+        [(load.server, load.model) for load in loads], Equals([("e", "large")])
     )
 
 
-def make_worn_site() -> list[DomainHosts]:
+def make_site_after_losses() -> list[DomainHosts]:
     """Return six domains of which five have lost a host of a large group."""
     domains = []
     for number in range(6):
@@ -114,48 +118,58 @@
     return domains
 
 
-def test_a_small_group_is_taken_apart_for_a_model_that_is_short() -> None:
-    # The demand of the two models is 4.4 and 8 groups; one large group is
-    # left of six, beside three idle survivors in each other domain.
+def test_a_small_group_is_dissolved_for_a_model_short_of_capacity() -> None:
+    # The models need 4.4 and 8 groups. One of six large groups is left; each
+    # of the other domains has three idle survivors.
     needs = {"large": 4.4, "small": 8.0}
-    planned = plan(*make_worn_site(), needs=needs, pressed=PRESSED)
+    planned = plan(
+        *make_site_after_losses(), needs=needs, overloaded=OVERLOADED
+    )
     (move,) = planned.moves
     assert_that(move.model, Equals("large"))
     assert_that(move.groups, HasLength(1))
     assert_that(move.groups[0].endswith("-s0"), Equals(True))
 
 
-def test_hosts_that_are_promised_wait_for_those_of_the_group() -> None:
-    domains = make_worn_site()
+def test_reserved_hosts_wait_for_members_of_the_dissolved_group() -> None:
+    domains = make_site_after_losses()
     needs = {"large": 4.4, "small": 14.0}
-    promised = domains[0]._replace(promised="large", groups=())
-    planned = plan(promised, *domains[1:], needs=needs, pressed=PRESSED)
-    formed = [one.members[0] for one in planned.formations]
-    assert_that([one for one in formed if one.startswith("d0")], HasLength(0))
-    prepared = [one.server for one in planned.preparations]
-    assert_that([one for one in prepared if one.startswith("d0")], HasLength(0))
+    reserved = domains[0]._replace(reserved_for="large", groups=())
+    planned = plan(reserved, *domains[1:], needs=needs, overloaded=OVERLOADED)
+    formed = [formation.members[0] for formation in planned.formations]
+    assert_that(
+        [server for server in formed if server.startswith("d0")], HasLength(0)
+    )
+    prepared = [preparation.server for preparation in planned.preparations]
+    assert_that(
+        [server for server in prepared if server.startswith("d0")], HasLength(0)
+    )
 
 
-def test_nothing_is_taken_apart_while_the_other_model_lacks_more() -> None:
+def test_no_group_of_a_model_with_the_greater_shortage_is_dissolved() -> None:
     needs = {"large": 4.4, "small": 60.0}
-    planned = plan(*make_worn_site(), needs=needs, pressed=PRESSED)
+    planned = plan(
+        *make_site_after_losses(), needs=needs, overloaded=OVERLOADED
+    )
     assert_that(planned.moves, HasLength(0))
 
 
-def test_nothing_is_taken_apart_while_the_groups_are_not_full() -> None:
+def test_no_group_is_dissolved_while_the_groups_are_not_full() -> None:
     needs = {"large": 4.4, "small": 8.0}
-    planned = plan(*make_worn_site(), needs=needs)
+    planned = plan(*make_site_after_losses(), needs=needs)
     assert_that(planned.moves, HasLength(0))
 
 
-def test_survivors_serve_another_model_that_is_short() -> None:
+def test_survivors_serve_another_model_short_of_capacity() -> None:
     free = tuple(make_host(f"h{n}", "large", "small") for n in range(3))
     groups = (make_group("l", "large", 4),)
     planned = plan(DomainHosts("d", free, groups), needs={"small": 4.0})
-    assert_that([one.model for one in planned.formations], Equals(["small"]))
+    assert_that(
+        [formation.model for formation in planned.formations], Equals(["small"])
+    )
 
 
-def test_a_domain_keeps_two_hosts_while_no_model_is_short() -> None:
+def test_a_domain_keeps_two_standby_hosts_without_a_shortage() -> None:
     free = tuple(make_host(f"h{n}", "large", "small") for n in range(3))
     groups = (make_group("l", "large", 4), make_group("s", "small", 2))
     planned = plan(DomainHosts("d", free, groups))
--- a/test/decisions/serving/test_planning.py
+++ b/test/decisions/serving/test_planning.py
@@ -1,4 +1,4 @@
-"""What the leader wants next, and how fast it has weights loaded."""
+"""Rate limit on loads from the weight store."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -10,15 +10,18 @@
 
 
 def make_planner() -> Planner:
-    """Return what a new leader plans with while callers send requests."""
+    """Return the planner of a new leader while callers send requests."""
     planner = Planner(board=GroupBoard())
     planner.has_traffic = True
     return planner
 
 
 @pytest.mark.parametrize("rate", [1.0, 4.0])
-def test_new_leaders_do_not_renew_the_pace_of_loads(rate: float) -> None:
-    # Each new leader began a load at once, whatever the last one had begun.
+def test_a_change_of_leader_does_not_raise_the_rate_of_loads(
+    rate: float,
+) -> None:
+    # Guards against a new leader that starts a load at once, regardless of the
+    # loads that the previous leader started.
     engine = ENGINE._replace(loads_per_s=rate, loads_at_once=100)
     loads: list[float] = []
     planner = make_planner()
@@ -29,7 +32,7 @@
         if planner.take_load(engine, now):
             loads.append(now)
     most = max(
-        (sum(end - 5.0 < one <= end for one in loads) for end in loads),
+        (sum(end - 5.0 < start <= end for start in loads) for end in loads),
         default=0,
     )
     assert_that(most <= 1.1 * 5.0 * rate + 3.0, Is(True), str(most))
