--- a/test/decisions/serving/test_lateness.py
+++ b/test/decisions/serving/test_lateness.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("has_begun", "waited_s", "standing"),
+    ("has_begun", "waited_s", "expected"),
     [
         (False, 0.1, Standing.ON_TIME),
         (False, 0.3, Standing.LATE),
@@ -37,12 +37,12 @@
     ],
 )
 def test_timeliness_depends_on_events_and_time_waited(
-    has_begun: bool, waited_s: float, standing: Standing
+    has_begun: bool, waited_s: float, expected: Standing
 ) -> None:
     judged = judge_standing(
         has_begun=has_begun, waited_s=waited_s, target_s=0.3
     )
-    assert_that(judged, Is(standing))
+    assert_that(judged, Is(expected))
 
 
 @pytest.mark.parametrize("known", [0, 4, 64])
