--- a/chervilrock/decisions/serving/activenodes.py
+++ b/chervilrock/decisions/serving/activenodes.py
@@ -74,7 +74,7 @@
         candidates.sort(key=lambda node: (node.node == leader, -node.cores))
         data_centres = len({node.data_centre for node in all_nodes})
         share = running if candidates is all_nodes else running / data_centres
-        return candidates[: _find_width(candidates, HEADROOM * share)]
+        return candidates[: _count_needed_nodes(candidates, HEADROOM * share)]
 
     def _find_peak(self, running: int, now: float) -> int:
         """Return the peak number of requests of the last seconds."""
@@ -87,12 +87,14 @@
         return seen[0][1]
 
 
-def _find_width(ranked: Sequence[NodeEntry], requests: float) -> int:
+def _count_needed_nodes(
+    ranked_nodes: Sequence[NodeEntry], requests: float
+) -> int:
     """Return how many nodes are needed for requests that are spread evenly."""
-    width = MIN_ACTIVE_NODES
-    while width < len(ranked):
-        weakest = ranked[width - 1].cores
-        if requests <= width * REQUESTS_PER_CORE * weakest:
+    count = MIN_ACTIVE_NODES
+    while count < len(ranked_nodes):
+        weakest = ranked_nodes[count - 1].cores
+        if requests <= count * REQUESTS_PER_CORE * weakest:
             break
-        width += 1
-    return width
+        count += 1
+    return count
