--- a/chervilrock/decisions/serving/credit.py
+++ b/chervilrock/decisions/serving/credit.py
@@ -1,83 +1,88 @@
-"""Credit of one process under a bound that all processes share.
+"""Token buckets of one process under a bound that all processes share.
 
-A process that starts again has forgotten what its predecessor used, so it
-starts with nothing and earns anew. What a chain of processes uses in any
-window is then no more than the greatest balance and what was earned within the
-window, however often and whenever they start again.
+A restarted process has lost what its predecessor used, so its bucket starts
+empty and refills anew. What a chain of processes uses in any window is then no
+more than the maximum balance and what was refilled within the window, however
+often and whenever they restart.
 """
 
 from typing import NamedTuple
 
-LEAST_BALANCE = 1.0
-"""Least balance that may be kept; with less, nothing could ever be used."""
+MIN_MAX_BALANCE = 1.0
+"""Lower bound of the maximum balance; with less, no token could ever be
+used."""
 
-KEPT_PART = 0.75
-"""Part of a share that may be kept for later and used at once; the rest comes
-evenly over the window. So a third more processes may come, while the others do
-not hear of it, and all stay within the bound."""
+BALANCE_FRACTION = 0.75
+"""Fraction of a share that may be saved up and used at once; the rest is
+refilled evenly over the window. So the number of processes may grow by a third
+without the knowledge of the others, and all stay within the bound."""
 
 
 class Share(NamedTuple):
     """A process's share of what all may use in a window.
 
     Attributes:
-      kept: greatest balance.
-      earned: what it earns over a window.
+      max_balance: maximum balance of its bucket.
+      refill_per_window: tokens that it gets over a window.
     """
 
-    kept: float
-    earned: float
+    max_balance: float
+    refill_per_window: float
 
 
-def deal_share(amount: float, sharers: int) -> Share:
+def divide_equally(amount: float, processes: int) -> Share:
     """Return the equal share of one process.
 
     Args:
       amount: what all processes together may use in a window.
-      sharers: number of the processes.
+      processes: number of the processes.
     """
-    share = amount / max(1, sharers)
-    kept = max(LEAST_BALANCE, KEPT_PART * share)
-    return Share(kept=kept, earned=max(0.0, share - kept))
+    share = amount / max(1, processes)
+    max_balance = max(MIN_MAX_BALANCE, BALANCE_FRACTION * share)
+    return Share(
+        max_balance=max_balance,
+        refill_per_window=max(0.0, share - max_balance),
+    )
 
 
-class Credit:
-    """A token bucket that starts empty, with tokens held for later.
+class TokenBucket:
+    """A token bucket that starts empty, with reserved tokens.
 
-    What is decided now is often used later, and sometimes never: such a token
-    is held, and counts in the balance until it is spent or released.
+    A token is often used some time after the decision to use it, and sometimes
+    never: such a token is reserved, and counts in the balance until it is spent
+    or released.
     """
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create an empty bucket."""
         self._balance = 0.0
-        self._held = 0
+        self._reserved = 0
 
     @property
-    def left(self) -> float:
-        """What may still be held, a fraction included."""
-        return self._balance - self._held
+    def available(self) -> float:
+        """Tokens that may still be reserved, a fraction included."""
+        return self._balance - self._reserved
 
-    def earn(self, amount: float, most: float) -> None:
-        """Add to the balance, up to the greatest one that may be kept."""
-        self._balance = min(self._balance + amount, most)
+    def refill(self, amount: float, max_balance: float) -> None:
+        """Add to the balance, up to its maximum."""
+        self._balance = min(self._balance + amount, max_balance)
 
-    def hold(self) -> bool:
-        """Hold one token if one is left."""
-        if self.left < 1:
+    def reserve(self) -> bool:
+        """Reserve one token; return whether one was available."""
+        if self.available < 1:
             return False
-        self._held += 1
+        self._reserved += 1
         return True
 
     def spend(self) -> None:
-        """Use a token that is held."""
-        self._held -= 1
+        """Consume a reserved token."""
+        self._reserved -= 1
         self._balance -= 1
 
     def release(self) -> None:
-        """Give up a token that is held."""
-        self._held -= 1
+        """Give up a reserved token."""
+        self._reserved -= 1
 
-    def refund(self, most: float) -> None:
-        """Take back a token that was spent and not used after all."""
-        self.earn(1.0, most)
+    def refund(self, max_balance: float) -> None:
+        """Return a token that was spent but not used after all."""
+        self.refill(1.0, max_balance)
--- a/chervilrock/decisions/serving/limitbook.py
+++ b/chervilrock/decisions/serving/limitbook.py
@@ -1,4 +1,4 @@
-"""The limits of servers that a leader tells all nodes."""
+"""Registry of the limits of servers that a leader announces to all nodes."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -6,27 +6,28 @@
     choose_senders,
     is_same_rate,
     LimitedServer,
-    Sightings,
+    LimitObservations,
 )
 
 
 class LimitBook:
-    """What servers said last of their limits, to whichever node.
+    """The limit that each server stated last, to whichever node.
 
-    A limit holds until the server says otherwise, or is gone: nodes that send
-    nothing to it hear nothing, which does not mean that it is over.
+    A limit holds until the server states another, or has been absent for too
+    long: nodes that send nothing to it get no answers from it, which does not
+    mean that its limit is over.
     """
 
     def __init__(self, *, known: Iterable[LimitedServer]) -> None:
-        """Go on with what the last leader told."""
-        self._rates = {one.server: one.rate for one in known}
-        self._sightings = Sightings()
+        """Create a registry from what the last leader announced."""
+        self._rates = {entry.server: entry.rate for entry in known}
+        self._observations = LimitObservations()
 
     def note(self, server: str, rate: float | None) -> bool:
-        """Take what a node has heard of a server; None is no limit.
+        """Record the limit that a node reports of a server; None is no limit.
 
         Returns:
-          Whether it is news.
+          Whether it is a change.
         """
         if is_same_rate(self._rates.get(server), rate):
             return False
@@ -46,12 +47,15 @@
         """Return the servers with limits, and who may send to them.
 
         Args:
-          present: servers that take requests; others are forgotten in time.
-          nodes: names of the nodes to which callers come.
+          present: servers that accept requests; others are forgotten after
+            some time.
+          nodes: names of the nodes that accept callers.
           now: present time.
         """
-        for gone in self._sightings.forget(list(self._rates), present, now):
-            del self._rates[gone]
+        for absent in self._observations.forget(
+            list(self._rates), present, now
+        ):
+            del self._rates[absent]
         return tuple(
             LimitedServer(server, rate, choose_senders(server, rate, nodes))
             for server, rate in sorted(self._rates.items())
--- a/chervilrock/decisions/serving/repeats.py
+++ b/chervilrock/decisions/serving/repeats.py
@@ -1,37 +1,38 @@
-"""How many repeats of requests a node may send.
+"""How many retries of requests a node may send.
 
 All nodes share one bound for each service: in any window, the sends beyond
-the first of each request may not exceed a part of the requests plus a fixed
-allowance. Nodes that are parted cannot ask each other, so each keeps to what
-its own requests earn and to an equal share of the allowance.
+the first of each request may not exceed a fraction of the requests plus a fixed
+allowance. Nodes separated by a network partition cannot coordinate, so each
+keeps to what its own requests allow and to an equal share of the allowance.
 
-Load pattern: most servers fail, so that every node repeats as much as it may,
-while nodes start again once, in series, or all at once.
+Load pattern: most servers fail, so that every node retries as much as it may,
+while nodes restart once, in series, or all at once.
 """
 
 from collections import deque
 from typing import NamedTuple
 
 from chervilrock.decisions.serving.credit import (
-    Credit,
-    deal_share,
-    LEAST_BALANCE,
+    divide_equally,
+    MIN_MAX_BALANCE,
+    TokenBucket,
 )
 
-REQUESTS_PART = 0.75
-"""Part of what requests allow that a node uses."""
+USED_FRACTION = 0.75
+"""Fraction of what requests allow that a node uses."""
 
-KEPT_WINDOWS = 0.25
-"""Time for which the part of a request is kept, in windows. Requests of so much
-more than a window pay for its repeats, so that only a part of what they allow
-is used; the rest is for sends that arrive later than they were counted."""
+MEMORY_WINDOWS = 0.25
+"""Time for which the tokens of a request may be kept, in windows. Retries of
+one window may thus be paid for by requests of this much more than a window, so
+only a fraction of what they allow is used; the rest is a margin for sends that
+arrive later than they were counted."""
 
 
 class BudgetState(NamedTuple):
-    """What a node may still send again to a service.
+    """Retries that a node may still send to a service.
 
     Attributes:
-      left: repeats that it may send now, a fraction included.
+      left: retries that it may send now, a fraction included.
       nodes: nodes among which it shares the allowance, None if unknown.
     """
 
@@ -40,74 +41,74 @@
 
 
 class RepeatBudget:
-    """Repeats of one node to one service, as a token bucket."""
+    """Retries of one node to one service, as a token bucket."""
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
-        """Make an empty budget.
+        """Create an empty budget.
 
         Args:
-          ratio: repeats allowed for each request.
-          slack: repeats allowed besides over all nodes.
+          ratio: retries allowed for each request.
+          slack: retries allowed in addition over all nodes.
           window_s: length of the window in seconds.
         """
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
-        self._credit = Credit()
-        self._kept_share = LEAST_BALANCE
+        self._bucket = TokenBucket()
+        self._share_balance = MIN_MAX_BALANCE
         self._requests: deque[float] = deque()
         self._nodes: int | None = None
-        self._refilled: float | None = None
+        self._refilled_at: float | None = None
 
     def note_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
         self._forget(now)
-        self._credit.earn(REQUESTS_PART * self._ratio, self._most)
+        self._bucket.refill(USED_FRACTION * self._ratio, self._max_balance)
 
     def refill(self, nodes: int | None, now: float) -> None:
-        """Earn the share of the allowance since the last call.
+        """Add the share of the allowance since the last call.
 
         Args:
-          nodes: greatest number of nodes that share the allowance; None if
-            the node does not know the present one, so that nothing is earned.
+          nodes: maximum number of nodes that share the allowance; None if the
+            node does not know the present one, so that nothing is added.
           now: present time.
         """
-        last, self._refilled = self._refilled, now
+        last, self._refilled_at = self._refilled_at, now
         self._nodes = nodes
         self._forget(now)
-        earned = 0.0
+        amount = 0.0
         if nodes is not None:
-            share = deal_share(self._slack, nodes)
-            self._kept_share = share.kept
-            earned = share.earned * self._count_windows(last, now)
-        self._credit.earn(earned, self._most)
+            share = divide_equally(self._slack, nodes)
+            self._share_balance = share.max_balance
+            amount = share.refill_per_window * self._count_windows(last, now)
+        self._bucket.refill(amount, self._max_balance)
 
     def reserve(self) -> bool:
-        """Hold a repeat for a request if the bound leaves room for it."""
-        return self._credit.hold()
+        """Reserve a retry for a request; return whether the bound allows it."""
+        return self._bucket.reserve()
 
     def spend(self) -> None:
-        """Count a repeat that was reserved, as it is sent."""
-        self._credit.spend()
+        """Count a reserved retry as it is sent."""
+        self._bucket.spend()
 
     def release(self) -> None:
-        """Give up a repeat that was reserved and is not sent."""
-        self._credit.release()
+        """Give up a reserved retry that is not sent."""
+        self._bucket.release()
 
     def refund(self) -> None:
-        """Take back a repeat of which no byte has left."""
-        self._credit.refund(self._most)
+        """Refund a retry of which no byte was sent."""
+        self._bucket.refund(self._max_balance)
 
     def describe(self) -> BudgetState:
         """Return what is left."""
-        return BudgetState(self._credit.left, self._nodes)
+        return BudgetState(self._bucket.available, self._nodes)
 
     @property
-    def _most(self) -> float:
-        """Greatest balance that may be kept."""
+    def _max_balance(self) -> float:
+        """Maximum balance of the bucket."""
         recent = len(self._requests)
-        return self._kept_share + REQUESTS_PART * self._ratio * recent
+        return self._share_balance + USED_FRACTION * self._ratio * recent
 
     def _count_windows(self, since: float | None, now: float) -> float:
         """Return the windows that have passed, 1 at most."""
@@ -116,7 +117,7 @@
         return min(1.0, (now - since) / self._window_s)
 
     def _forget(self, now: float) -> None:
-        """Forget the requests that earn nothing any more."""
-        oldest = now - KEPT_WINDOWS * self._window_s
+        """Remove the requests that no longer add to the maximum balance."""
+        oldest = now - MEMORY_WINDOWS * self._window_s
         while self._requests and self._requests[0] < oldest:
             self._requests.popleft()
--- a/test/decisions/serving/repeat_fleet.py
+++ b/test/decisions/serving/repeat_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that send requests again as often as their budgets allow."""
+"""Simulated nodes that retry requests as often as their budgets allow."""
 
 import bisect
 from collections.abc import Iterable, Mapping
@@ -17,8 +17,8 @@
     """A fleet and its load.
 
     Attributes:
-      nodes: its nodes.
-      slack: repeats that are allowed besides in a window.
+      nodes: number of its nodes.
+      slack: retries that are allowed in addition in a window.
       rate: requests of callers a second over all nodes.
     """
 
@@ -36,7 +36,7 @@
 
 
 class Excess(NamedTuple):
-    """The window with the most arrivals beyond what is allowed."""
+    """The window that exceeds the bound most."""
 
     end: float
     arrivals: int
@@ -47,20 +47,20 @@
     """Nodes of one service whose requests all fail.
 
     Attributes:
-      arrivals: when requests were sent again.
-      out_of_touch_from: when nodes learn of no others any more, but for
-        those that were added, which know all.
-      places_from: when there are places for what is to be sent again.
+      arrivals: when requests were retried.
+      no_contact_from_s: time from which nodes do not know how many others there
+        are, except for those that were added, which know all.
+      slots_from_s: time from which there are slots for retries.
     """
 
     def __init__(self, *, size: Size, seed: int = 1) -> None:
-        """Start all nodes at once."""
+        """Create a fleet whose nodes all start at once."""
         self._size = size
         self._generator = random.Random(seed)
         self._requests: list[float] = []
         self.arrivals: list[float] = []
-        self.out_of_touch_from = math.inf
-        self.places_from = 0.0
+        self.no_contact_from_s = math.inf
+        self.slots_from_s = 0.0
         self._waiting: list[RepeatBudget] = []
         self._budgets = [self._make_budget() for _ in range(size.nodes)]
 
@@ -70,7 +70,7 @@
         )
 
     def restart(self, nodes: Iterable[int]) -> None:
-        """Start nodes again, which forget all."""
+        """Restart nodes, which lose their budgets."""
         for node in nodes:
             self._budgets[node] = self._make_budget()
 
@@ -78,68 +78,68 @@
         """Add nodes."""
         self._budgets += [self._make_budget() for _ in range(count)]
 
-    def play(
+    def simulate(
         self,
         *,
-        until: float,
-        fails_from: float,
+        until_s: float,
+        fails_from_s: float,
         restarts: Mapping[float, Iterable[int]] | None = None,
     ) -> None:
-        """Let callers ask, and send each request again that may be.
+        """Let callers send requests, and retry as often as allowed.
 
         Args:
-          until: end of the play in seconds.
-          fails_from: when all requests begin to fail.
-          restarts: nodes that start again, by the time.
+          until_s: end of the simulation.
+          fails_from_s: time from which all requests fail.
+          restarts: nodes that restart, by the time.
         """
-        due = dict(restarts or {})
-        owed = 0.0
-        for step in range(round(until / STEP_S)):
+        pending_restarts = dict(restarts or {})
+        pending = 0.0
+        for step in range(round(until_s / STEP_S)):
             now = step * STEP_S
-            for time in [one for one in due if one <= now]:
-                self.restart(due.pop(time))
-            owed += self._size.rate * STEP_S
-            while owed >= 1.0:
-                owed -= 1.0
+            for time in [time for time in pending_restarts if time <= now]:
+                self.restart(pending_restarts.pop(time))
+            pending += self._size.rate * STEP_S
+            while pending >= 1.0:
+                pending -= 1.0
                 node = self._generator.randrange(len(self._budgets))
                 self._budgets[node].note_request(now)
                 self._requests.append(now)
             for node, budget in enumerate(self._budgets):
                 budget.refill(self._count_known(node, now), now)
-            if now >= fails_from:
-                self._send_again(now)
+            if now >= fails_from_s:
+                self._retry(now)
 
     def _count_known(self, node: int, now: float) -> int | None:
-        """Return how many nodes a node knows, None if it is out of touch."""
+        """Return how many nodes a node knows, None without contact."""
         if node >= self._size.nodes:
             return len(self._budgets)
-        return None if now >= self.out_of_touch_from else self._size.nodes
+        return None if now >= self.no_contact_from_s else self._size.nodes
 
-    def _send_again(self, now: float) -> None:
+    def _retry(self, now: float) -> None:
         for budget in self._budgets:
             while budget.reserve():
                 self._waiting.append(budget)
-        if now >= self.places_from:
+        if now >= self.slots_from_s:
             for budget in self._waiting:
                 budget.spend()
                 self.arrivals.append(now)
             self._waiting.clear()
 
     def find_excess(self) -> Excess:
-        """Return the window that exceeds the bound most, or comes nearest."""
+        """Return the window that exceeds the bound most, or comes closest."""
         found = Excess(0.0, 0, float("inf"))
         for end in self.arrivals:
             arrivals = self._count(self.arrivals, end)
-            asked = max(
+            requested = max(
                 self._count(self._requests, end - back)
                 for back in (0.0, WINDOW_S / 2, WINDOW_S)
             )
-            allowed = RATIO * asked + self._size.slack
+            allowed = RATIO * requested + self._size.slack
             if arrivals - allowed > found.arrivals - found.allowed:
                 found = Excess(end, arrivals, allowed)
         return found
 
     def _count(self, times: list[float], end: float) -> int:
-        """Count what lies in the window that ends at a time."""
+        """Return how many of the times lie in the window that ends at one."""
         first = bisect.bisect_left(times, end - WINDOW_S)
         return bisect.bisect_right(times, end) - first
--- a/test/decisions/serving/test_credit.py
+++ b/test/decisions/serving/test_credit.py
@@ -1,69 +1,71 @@
-"""Credit under a bound that all processes share."""
+"""Token buckets under a bound that all processes share."""
 
 import pytest
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, LessThan
 
 from chervilrock.decisions.serving.credit import (
-    Credit,
-    deal_share,
-    LEAST_BALANCE,
+    divide_equally,
+    MIN_MAX_BALANCE,
+    TokenBucket,
 )
 
-MOST = 3.0
+MAX_BALANCE = 3.0
 
 
 @pytest.fixture
-def credit() -> Credit:
-    return Credit()
+def bucket() -> TokenBucket:
+    return TokenBucket()
 
 
-def test_a_process_starts_with_nothing(credit) -> None:
-    assert_that(credit.hold(), Is(False))
+def test_a_bucket_starts_empty(bucket) -> None:
+    assert_that(bucket.reserve(), Is(False))
 
 
-def test_no_more_is_kept_than_the_greatest_balance(credit) -> None:
+def test_the_balance_never_exceeds_its_maximum(bucket) -> None:
     for _ in range(10):
-        credit.earn(1.0, MOST)
-    held = sum(credit.hold() for _ in range(10))
-    assert_that(held, Equals(3))
+        bucket.refill(1.0, MAX_BALANCE)
+    reserved = sum(bucket.reserve() for _ in range(10))
+    assert_that(reserved, Equals(3))
 
 
-def test_what_is_held_counts_in_the_balance_until_it_is_spent(credit) -> None:
-    credit.earn(MOST, MOST)
-    assert_that(credit.hold(), Is(True))
-    credit.earn(1.0, MOST)
-    assert_that(credit.left, Equals(2.0))
-    credit.spend()
-    credit.earn(1.0, MOST)
-    assert_that(credit.left, Equals(3.0))
+def test_reserved_tokens_count_in_the_balance_until_they_are_spent(
+    bucket,
+) -> None:
+    bucket.refill(MAX_BALANCE, MAX_BALANCE)
+    assert_that(bucket.reserve(), Is(True))
+    bucket.refill(1.0, MAX_BALANCE)
+    assert_that(bucket.available, Equals(2.0))
+    bucket.spend()
+    bucket.refill(1.0, MAX_BALANCE)
+    assert_that(bucket.available, Equals(3.0))
 
 
-def test_what_is_released_or_refunded_is_there_again(credit) -> None:
-    credit.earn(1.0, MOST)
-    assert_that(credit.hold(), Is(True))
-    credit.release()
-    assert_that(credit.hold(), Is(True))
-    credit.spend()
-    credit.refund(MOST)
-    assert_that(credit.left, Equals(1.0))
+def test_released_or_refunded_tokens_are_available_again(bucket) -> None:
+    bucket.refill(1.0, MAX_BALANCE)
+    assert_that(bucket.reserve(), Is(True))
+    bucket.release()
+    assert_that(bucket.reserve(), Is(True))
+    bucket.spend()
+    bucket.refund(MAX_BALANCE)
+    assert_that(bucket.available, Equals(1.0))
 
 
-def test_a_lower_greatest_balance_takes_back_what_was_kept(credit) -> None:
-    credit.earn(MOST, MOST)
-    credit.earn(0.0, 1.0)
-    assert_that(credit.left, Equals(1.0))
+def test_a_lower_maximum_reduces_the_balance(bucket) -> None:
+    bucket.refill(MAX_BALANCE, MAX_BALANCE)
+    bucket.refill(0.0, 1.0)
+    assert_that(bucket.available, Equals(1.0))
 
 
-@pytest.mark.parametrize("sharers", [1, 7, 77, 195, 300])
-def test_shares_add_up_to_what_all_may_use(sharers) -> None:
+@pytest.mark.parametrize("processes", [1, 7, 77, 195, 300])
+def test_shares_add_up_to_what_all_may_use(processes) -> None:
     amount = 496.0
-    share = deal_share(amount, sharers)
-    total = sharers * (share.kept + share.earned)
+    share = divide_equally(amount, processes)
+    total = processes * (share.max_balance + share.refill_per_window)
     assert_that(total, LessThan(amount + 1e-6))
 
 
-def test_a_share_below_one_is_kept_whole_and_earned_by_use_alone() -> None:
-    share = deal_share(100.0, 400)
-    assert_that(share.kept, Equals(LEAST_BALANCE))
-    assert_that(share.earned, Equals(0.0))
+def test_a_share_below_one_token_allows_one_and_gets_no_refill() -> None:
+    share = divide_equally(100.0, 400)
+    assert_that(share.max_balance, Equals(MIN_MAX_BALANCE))
+    assert_that(share.refill_per_window, Equals(0.0))
