--- a/chervilrock/decisions/serving/suspects.py
+++ b/chervilrock/decisions/serving/suspects.py
@@ -1,57 +1,60 @@
-"""Which requests crash the backend servers that run them.
+"""Identifies the requests that crash the backend servers that run them.
 
 A request that crashes its server comes back as another attempt, at any node,
-and would crash one server after the other. Each server that ends takes
-everything with it that ran there, so an end alone says little about a request.
-What tells the cause from its companions: it was there each time, the server had
-not answered it yet or only just, and it never runs clean.
+and would crash one server after the other. A crash takes everything with it
+that ran on the server, so one crash says little about any request. What
+distinguishes the cause from bystanders: it was on the server at every crash,
+the server had sent no or little of its answer by then, and it never completes
+normally.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 MAX_ENDS = 3
-"""Servers that may end under a request before it is withheld."""
+"""Servers that may crash under a request before it is withheld."""
 
 LEAST_TOLD = 2
-"""Ends from which on all nodes know a request, so that the one that sees the
-third end holds it back, and a clean run anywhere clears it."""
+"""Crashes from which on all nodes have a request in their list, so that the
+node that sees the third crash withholds it, and a normal completion anywhere
+clears it."""
 
 FORGET_S = 600.0
-"""Time after its last end for which a request that is not withheld counts as a
-suspect."""
+"""Time after its last crash for which a request that is not withheld counts as
+a suspect."""
 
 WITHHELD_S = 3600.0
-"""Time after its last end for which a request is withheld. A new version of the
-engine may run it; until then each trial costs up to three servers."""
+"""Time after its last crash for which a request is withheld. A new version of
+the engine may run it; until then each trial costs up to three servers."""
 
 SETTLE_S = 0.05
-"""Time for the reports of other nodes on the same end: they take some
-milliseconds, and without them a companion may look like the cause."""
+"""Time to wait for the reports of other nodes on the same crash: they take some
+milliseconds, and without them a bystander may look like the cause."""
 
 RIVAL_SETTLE_S = 0.25
-"""The same while a likelier request had all of these ends but one: the report
-of its last end may be late where nodes are busy."""
+"""The same while a likelier request had all of these crashes but one: the
+report of its last crash may be late where nodes are busy."""
 
 MAX_CONTENTS = 1024
-"""Requests that are kept at once; a flood of different ones drives out those
-with the fewest ends first."""
+"""Requests that are kept at once; a flood of different ones evicts those with
+the fewest crashes first."""
 
 MAX_TOLD = 128
-"""Requests that nodes tell each other of."""
+"""Requests that the leader announces to the nodes."""
 
-MAX_ENDS_KEPT = 8
-"""Ends that are kept of a request; later ones tell nothing new."""
+MAX_RECORDED_CRASHES = 8
+"""Crashes that are kept of a request; later ones add no information."""
 
 
 class ServerEnd(NamedTuple):
-    """A backend server that ended while it had a request.
+    """A backend server that crashed while it had a request.
 
     Attributes:
-      server: identifier of this start of the server.
+      server: identifier of this incarnation of the server.
       node: node that saw it.
-      served_s: seconds since the first byte of the answer, 0 without one.
-      sent_s: seconds since the request was sent there.
+      since_first_byte_s: seconds since the first byte of the answer, 0 without
+        one.
+      since_sent_s: seconds since the request was sent there.
     """
 
     server: str
@@ -61,12 +64,12 @@
 
 
 class Suspect(NamedTuple):
-    """A request under which servers ended.
+    """A request under which servers crashed.
 
     Attributes:
-      content: name of what it asks for.
-      ends: the servers that ended under it, the first one first.
-      is_withheld: whether no server gets it any more.
+      content: identifier of its content.
+      crashes: the servers that crashed under it, the first one first.
+      is_withheld: whether it is withheld from all servers.
     """
 
     content: str
@@ -75,21 +78,21 @@
 
     @property
     def servers(self) -> str:
-        """The ended servers, for a log line."""
-        return ",".join(end.server for end in self.ends)
+        """The crashed servers, for a log line."""
+        return ",".join(crash.server for crash in self.ends)
 
     @property
     def nodes(self) -> str:
-        """The nodes that saw it, for a log line."""
-        return ",".join(sorted({end.node for end in self.ends}))
+        """The nodes that saw the crashes, for a log line."""
+        return ",".join(sorted({crash.node for crash in self.ends}))
 
 
 class EndReport(NamedTuple):
-    """What one node tells another of requests and ended servers.
+    """What one node reports to another about requests and crashed servers.
 
     Attributes:
-      ends: requests and the ends that the node saw.
-      cleared: requests that ran clean since.
+      crashes: requests and the crashes that the node saw.
+      cleared: requests that have completed normally since.
     """
 
     ends: tuple[tuple[str, ServerEnd], ...] = ()
@@ -97,112 +100,116 @@
 
 
 class _Record:
-    """What is kept of a request."""
+    """Crashes of servers under one request."""
 
     def __init__(self) -> None:
-        self.ends: dict[str, ServerEnd] = {}
-        self.last = float("-inf")
-        self.settled = float("inf")
+        self.crashes: dict[str, ServerEnd] = {}
+        self.last_crash_at = float("-inf")
+        self.settles_at = float("inf")
         self.is_withheld = False
 
 
 class SuspectLedger:
-    """Ends of servers by the requests that they had."""
+    """Crashes of servers by the requests that they had."""
 
     def __init__(self) -> None:
-        """Suspect nothing yet."""
+        """Create a tracker without suspects."""
         self._records: dict[str, _Record] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def count_ends(self, content: str) -> int:
-        """Return the servers that are known to have ended under a request."""
+        """Return the servers that are known to have crashed under a request."""
         record = self._records.get(content)
-        return 0 if record is None else len(record.ends)
+        return 0 if record is None else len(record.crashes)
 
     def note_end(
         self,
         content: str,
-        end: ServerEnd,
+        crash: ServerEnd,
         now: float,
         *,
         settle_s: float = SETTLE_S,
     ) -> bool:
-        """Take an end, once for each server; tell whether it was new.
+        """Record a crash, once for each server; return whether it was new.
 
         Args:
           content: the request.
-          end: the end.
+          crash: the crash.
           now: present time.
-          settle_s: time after which the end counts.
+          settle_s: time after which the crash counts.
         """
         record = self._records.get(content)
         if record is None:
-            self._make_room()
+            self._evict_if_full()
             record = _Record()
-        elif end.server in record.ends or len(record.ends) >= MAX_ENDS_KEPT:
+        elif (
+            crash.server in record.crashes
+            or len(record.crashes) >= MAX_RECORDED_CRASHES
+        ):
             return False
         else:
-            # Kept in the order of the last ends.
+            # Removed and inserted again to keep the order of the last crashes.
             del self._records[content]
         self._records[content] = record
-        record.ends[end.server] = end
-        record.last = now
-        if len(record.ends) == MAX_ENDS:
-            record.settled = now + settle_s
+        record.crashes[crash.server] = crash
+        record.last_crash_at = now
+        if len(record.crashes) == MAX_ENDS:
+            record.settles_at = now + settle_s
         return True
 
     def note_suspect(self, suspect: Suspect, now: float) -> None:
-        """Take what another node has found of a request."""
-        for end in suspect.ends:
+        """Record what another node has found out about a request."""
+        for crash in suspect.ends:
             settle_s = 0.0 if suspect.is_withheld else SETTLE_S
-            self.note_end(suspect.content, end, now, settle_s=settle_s)
+            self.note_end(suspect.content, crash, now, settle_s=settle_s)
 
     def clear(self, content: str) -> bool:
-        """Forget a request, as it ran clean; tell whether it was known."""
+        """Remove a request that ran normally; return whether it was known."""
         return self._records.pop(content, None) is not None
 
     def judge(self, now: float) -> tuple[Suspect, ...]:
-        """Return the requests with several ends, and which are withheld.
-
-        The one with most ends is withheld first, of equals the one whose
-        servers outlived the start of its answer for the shortest time. An end
-        that it explains does not count against its companions there, unless a
-        companion was answered later than it. All is judged anew each time, so
-        that a companion is free as soon as the cause is known.
+        """Return the requests with several crashes, and which are withheld.
+
+        The one with most crashes is withheld first, of equals the one whose
+        servers outlived the start of its answer for the shortest time. A crash
+        that it explains does not count against the bystanders there, unless a
+        bystander's answer began later than its own. Everything is evaluated
+        anew each time, so that a bystander is released as soon as the cause is
+        known.
         """
-        self._forget(now)
+        self._expire(now)
         suspects = {
             content: record
             for content, record in self._records.items()
-            if len(record.ends) >= LEAST_TOLD
+            if len(record.crashes) >= LEAST_TOLD
         }
         explained: dict[str, float] = {}
         for record in suspects.values():
             record.is_withheld = False
-        for record in sorted(suspects.values(), key=_rank):
+        for record in sorted(suspects.values(), key=_get_sort_key):
             if now < self._find_due(record, suspects.values()):
                 continue
-            open_ends = [
-                end
-                for end in record.ends.values()
-                if explained.get(end.server, float("inf")) > end.served_s
+            unexplained = [
+                crash
+                for crash in record.crashes.values()
+                if explained.get(crash.server, float("inf")) > crash.served_s
             ]
-            if len(open_ends) < MAX_ENDS:
+            if len(unexplained) < MAX_ENDS:
                 continue
             record.is_withheld = True
-            for end in record.ends.values():
-                former = explained.get(end.server, float("inf"))
-                explained[end.server] = min(former, end.served_s)
+            for crash in record.crashes.values():
+                former = explained.get(crash.server, float("inf"))
+                explained[crash.server] = min(former, crash.served_s)
         return self._list(suspects)
 
     def find_settling(self, now: float) -> float | None:
-        """Return when the next request is due to be judged, None for none."""
+        """Return when the next request is due for evaluation, None for none."""
         times = [
             time
             for record in self._records.values()
-            for time in (record.settled, _find_latest(record))
+            for time in (record.settles_at, _find_latest_due(record))
             if now < time < float("inf")
         ]
         return min(times, default=None)
@@ -210,72 +217,73 @@
     def _find_due(self, record: _Record, suspects: Iterable[_Record]) -> float:
         """Return when a request may be withheld, as far as is known now."""
         for rival in suspects:
-            shared = record.ends.keys() & rival.ends.keys()
-            is_behind = len(rival.ends) < len(record.ends)
-            if not is_behind or len(shared) < len(record.ends) - 1:
+            shared = record.crashes.keys() & rival.crashes.keys()
+            is_behind = len(rival.crashes) < len(record.crashes)
+            if not is_behind or len(shared) < len(record.crashes) - 1:
                 continue
-            if _weigh(rival, shared) < _weigh(record, shared):
-                return _find_latest(record)
-        return record.settled
+            if _score(rival, shared) < _score(record, shared):
+                return _find_latest_due(record)
+        return record.settles_at
 
     def _list(self, suspects: dict[str, _Record]) -> tuple[Suspect, ...]:
-        """Return suspects to tell of, withheld ones and late ones first."""
+        """Return the suspects to announce, withheld and recent ones first."""
         listed = [
-            Suspect(content, tuple(record.ends.values()), record.is_withheld)
+            Suspect(content, tuple(record.crashes.values()), record.is_withheld)
             for content, record in reversed(suspects.items())
         ]
-        listed.sort(key=lambda one: not one.is_withheld)
+        listed.sort(key=lambda suspect: not suspect.is_withheld)
         return tuple(listed[:MAX_TOLD])
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         for content, record in list(self._records.items()):
-            limit_s = WITHHELD_S if record.is_withheld else FORGET_S
-            if now - record.last > limit_s:
+            lifetime_s = WITHHELD_S if record.is_withheld else FORGET_S
+            if now - record.last_crash_at > lifetime_s:
                 del self._records[content]
 
-    def _make_room(self) -> None:
-        """Drop the record with the fewest ends, the oldest of these."""
+    def _evict_if_full(self) -> None:
+        """Drop the record with the fewest crashes, the oldest of these."""
         if len(self._records) < MAX_CONTENTS:
             return
         fewest = min(
-            self._records, key=lambda one: len(self._records[one].ends)
+            self._records,
+            key=lambda content: len(self._records[content].crashes),
         )
         del self._records[fewest]
 
 
-def _find_latest(record: _Record) -> float:
-    """Return when no report of a rival is waited for any more."""
-    return record.settled + RIVAL_SETTLE_S
+def _find_latest_due(record: _Record) -> float:
+    """Return when to stop waiting for the report of a rival."""
+    return record.settles_at + RIVAL_SETTLE_S
 
 
-def _weigh(record: _Record, servers: Iterable[str]) -> tuple[float, float]:
-    """Return how unlikely a request is the cause of some ends."""
-    ends = [record.ends[server] for server in servers]
+def _score(record: _Record, servers: Iterable[str]) -> tuple[float, float]:
+    """Return how unlikely a request is the cause of some crashes."""
+    crashes = [record.crashes[server] for server in servers]
     return (
-        sum(end.served_s for end in ends),
-        -sum(end.sent_s for end in ends),
+        sum(crash.served_s for crash in crashes),
+        -sum(crash.sent_s for crash in crashes),
     )
 
 
-def _rank(record: _Record) -> tuple[int, float, float]:
-    """Return what orders records by how likely they are the cause.
+def _get_sort_key(record: _Record) -> tuple[int, float, float]:
+    """Return a key that sorts records by how likely they are the cause.
 
-    Of those that no server had answered yet, the one that was there longest
-    is the likeliest to have begun.
+    Of those that no server had begun to answer, the one that was there longest
+    is the likeliest to have started running.
     """
-    return (-len(record.ends), *_weigh(record, record.ends))
+    return (-len(record.crashes), *_score(record, record.crashes))
 
 
 class SuspectTable:
-    """What a node knows of suspects, as its requests ask for it.
+    """Suspects that one node has, as its requests look them up.
 
     Attributes:
-      version: term and number of the list that a leader told.
-      told: that list.
+      version: term and number of the list that a leader announced.
+      announced: that list.
     """
 
     def __init__(self) -> None:
-        """Know no suspect."""
+        """Create a table without suspects."""
         self.version = (-1, 0)
         self.told: tuple[Suspect, ...] = ()
         self._withheld: dict[str, Suspect] = {}
@@ -284,33 +292,42 @@
         return bool(self._withheld)
 
     def use(
-        self, told: Iterable[Suspect], own: Iterable[Suspect]
+        self, announced: Iterable[Suspect], own: Iterable[Suspect]
     ) -> tuple[tuple[Suspect, ...], tuple[str, ...]]:
-        """Use what the leader told and what this node has found by itself.
+        """Apply what the leader announced and what this node found by itself.
+
+        Args:
+          announced: suspects that the leader announced.
+          own: suspects that this node found.
 
         Returns:
           What is withheld from now on, and what no longer is.
         """
-        both = (*told, *own)
+        both = (*announced, *own)
         former = self._withheld
         self._withheld = {
-            one.content: one for one in reversed(both) if one.is_withheld
+            suspect.content: suspect
+            for suspect in reversed(both)
+            if suspect.is_withheld
         }
         begun = tuple(
-            one
-            for content, one in self._withheld.items()
+            suspect
+            for content, suspect in self._withheld.items()
             if content not in former
         )
-        return begun, tuple(one for one in former if one not in self._withheld)
+        return begun, tuple(
+            content for content in former if content not in self._withheld
+        )
 
     def find_withheld(self, content: str) -> Suspect | None:
         """Return why a request is withheld, None when it is not."""
         return self._withheld.get(content)
 
     def is_told_withheld(self, content: str) -> bool:
-        """Tell whether the leader withholds a request."""
+        """Return whether the leader withholds a request."""
         return any(
-            one.content == content and one.is_withheld for one in self.told
+            suspect.content == content and suspect.is_withheld
+            for suspect in self.told
         )
 
     def count_withheld(self) -> int:
--- a/test/decisions/serving/test_suspects.py
+++ b/test/decisions/serving/test_suspects.py
@@ -1,10 +1,13 @@
-"""Which requests are taken for the cause of the ends of servers."""
+"""Which requests are identified as the cause of crashes of servers."""
 
 import pytest
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, HasLength, Is, LessThan, Not
 
-from chervilrock.decisions.serving.contents import identify_content, MAX_SHOWN
+from chervilrock.decisions.serving.contents import (
+    identify_content,
+    MAX_SHOWN_CHARACTERS,
+)
 from chervilrock.decisions.serving.suspects import (
     FORGET_S,
     MAX_CONTENTS,
@@ -20,182 +23,190 @@
 )
 
 CAUSE = "a/cause"
-COMPANION = "a/companion"
+BYSTANDER = "a/bystander"
 NOW = 100.0
 LATER = NOW + 2 * SETTLE_S
 
 
 @pytest.fixture
-def ledger() -> SuspectLedger:
+def tracker() -> SuspectLedger:
     return SuspectLedger()
 
 
-def note_ends(
-    ledger: SuspectLedger,
+def record_crashes(
+    tracker: SuspectLedger,
     content: str,
     servers: str,
     *,
     served_s: float = 0.0,
     sent_s: float = 0.2,
 ) -> None:
-    """Let servers, named by letters, end under a request."""
+    """Let servers, named by letters, crash under a request."""
     for server in servers:
-        end = ServerEnd(server, "n1", served_s, sent_s)
-        ledger.note_end(content, end, NOW)
+        crash = ServerEnd(server, "n1", served_s, sent_s)
+        tracker.note_end(content, crash, NOW)
 
 
-def list_withheld(ledger: SuspectLedger, now: float = LATER) -> list[str]:
-    return [one.content for one in ledger.judge(now) if one.is_withheld]
+def list_withheld(tracker: SuspectLedger, now: float = LATER) -> list[str]:
+    return [
+        suspect.content for suspect in tracker.judge(now) if suspect.is_withheld
+    ]
 
 
-def test_the_third_server_is_the_last_one(ledger: SuspectLedger) -> None:
-    note_ends(ledger, CAUSE, "AB")
-    assert_that(list_withheld(ledger), HasLength(0))
-    note_ends(ledger, CAUSE, "C")
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+def test_a_request_is_withheld_after_three_crashes(
+    tracker: SuspectLedger,
+) -> None:
+    record_crashes(tracker, CAUSE, "AB")
+    assert_that(list_withheld(tracker), HasLength(0))
+    record_crashes(tracker, CAUSE, "C")
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
-def test_a_server_that_several_nodes_saw_end_counts_once(
-    ledger: SuspectLedger,
+def test_a_crash_that_several_nodes_report_counts_once(
+    tracker: SuspectLedger,
 ) -> None:
     for node in ("n1", "n2", "n3"):
-        ledger.note_end(CAUSE, ServerEnd("A", node, 0.0, 0.1), NOW)
-    assert_that(ledger.count_ends(CAUSE), Equals(1))
+        tracker.note_end(CAUSE, ServerEnd("A", node, 0.0, 0.1), NOW)
+    assert_that(tracker.count_ends(CAUSE), Equals(1))
 
 
-def test_reports_of_the_same_end_are_waited_for(ledger: SuspectLedger) -> None:
-    note_ends(ledger, COMPANION, "ABC", served_s=0.4)
-    assert_that(list_withheld(ledger, NOW), HasLength(0))
-    assert_that(ledger.find_settling(NOW) == NOW + SETTLE_S, Is(True))
-    note_ends(ledger, CAUSE, "ABC")
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+def test_no_request_is_withheld_before_all_reports_of_a_crash(
+    tracker: SuspectLedger,
+) -> None:
+    record_crashes(tracker, BYSTANDER, "ABC", served_s=0.4)
+    assert_that(list_withheld(tracker, NOW), HasLength(0))
+    assert_that(tracker.find_settling(NOW) == NOW + SETTLE_S, Is(True))
+    record_crashes(tracker, CAUSE, "ABC")
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
-def test_a_late_report_on_the_cause_is_waited_for(
-    ledger: SuspectLedger,
+def test_a_late_report_on_the_cause_still_counts(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, CAUSE, "AB")
-    note_ends(ledger, COMPANION, "ABC", served_s=0.1)
-    assert_that(list_withheld(ledger), HasLength(0))
-    note_ends(ledger, CAUSE, "C")
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+    record_crashes(tracker, CAUSE, "AB")
+    record_crashes(tracker, BYSTANDER, "ABC", served_s=0.1)
+    assert_that(list_withheld(tracker), HasLength(0))
+    record_crashes(tracker, CAUSE, "C")
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
-def test_a_report_that_does_not_come_is_not_waited_for_long(
-    ledger: SuspectLedger,
+def test_a_missing_report_delays_withholding_only_briefly(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, COMPANION, "AB")
-    note_ends(ledger, CAUSE, "ABC", served_s=0.1)
+    record_crashes(tracker, BYSTANDER, "AB")
+    record_crashes(tracker, CAUSE, "ABC", served_s=0.1)
     due = NOW + SETTLE_S + RIVAL_SETTLE_S
-    assert_that(list_withheld(ledger, due - 0.01), HasLength(0))
-    assert_that(list_withheld(ledger, due), Equals([CAUSE]))
+    assert_that(list_withheld(tracker, due - 0.01), HasLength(0))
+    assert_that(list_withheld(tracker, due), Equals([CAUSE]))
 
 
-def test_a_companion_that_ended_with_the_cause_each_time_is_free(
-    ledger: SuspectLedger,
+def test_a_bystander_at_each_crash_is_not_withheld(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, COMPANION, "ABC", served_s=0.3)
-    note_ends(ledger, CAUSE, "ABC", served_s=0.05)
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+    record_crashes(tracker, BYSTANDER, "ABC", served_s=0.3)
+    record_crashes(tracker, CAUSE, "ABC", served_s=0.05)
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
-def test_of_requests_without_answers_the_one_sent_first_is_the_cause(
-    ledger: SuspectLedger,
+def test_of_unanswered_requests_the_one_sent_first_is_the_cause(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, COMPANION, "ABC", sent_s=0.1)
-    note_ends(ledger, CAUSE, "ABC", sent_s=0.25)
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+    record_crashes(tracker, BYSTANDER, "ABC", sent_s=0.1)
+    record_crashes(tracker, CAUSE, "ABC", sent_s=0.25)
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
-def test_a_companion_of_two_causes_is_free(ledger: SuspectLedger) -> None:
-    note_ends(ledger, "a/one", "ABC")
-    note_ends(ledger, "a/two", "DEF")
-    note_ends(ledger, COMPANION, "ADE", served_s=0.2)
-    withheld = list_withheld(ledger)
-    assert_that(withheld, Not(Contains(COMPANION)))
+def test_a_bystander_of_two_causes_is_not_withheld(
+    tracker: SuspectLedger,
+) -> None:
+    record_crashes(tracker, "a/one", "ABC")
+    record_crashes(tracker, "a/two", "DEF")
+    record_crashes(tracker, BYSTANDER, "ADE", served_s=0.2)
+    withheld = list_withheld(tracker)
+    assert_that(withheld, Not(Contains(BYSTANDER)))
     assert_that(len(withheld), Equals(2))
 
 
-def test_a_companion_is_let_go_when_the_cause_is_known(
-    ledger: SuspectLedger,
+def test_a_bystander_is_released_when_the_cause_is_known(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, COMPANION, "ABC", served_s=0.2)
-    assert_that(list_withheld(ledger), Equals([COMPANION]))
-    note_ends(ledger, CAUSE, "ABCD", served_s=0.2)
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+    record_crashes(tracker, BYSTANDER, "ABC", served_s=0.2)
+    assert_that(list_withheld(tracker), Equals([BYSTANDER]))
+    record_crashes(tracker, CAUSE, "ABCD", served_s=0.2)
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
 def test_a_second_cause_that_shares_a_server_is_found(
-    ledger: SuspectLedger,
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, "a/one", "ABC", served_s=0.06)
-    note_ends(ledger, "a/two", "CDE", served_s=0.02)
-    # The third end of the first one may be the work of the second one.
-    assert_that(list_withheld(ledger), Equals(["a/two"]))
-    note_ends(ledger, "a/one", "F", served_s=0.06)
-    assert_that(sorted(list_withheld(ledger)), Equals(["a/one", "a/two"]))
+    record_crashes(tracker, "a/one", "ABC", served_s=0.06)
+    record_crashes(tracker, "a/two", "CDE", served_s=0.02)
+    # The third crash of the first one may be due to the second one.
+    assert_that(list_withheld(tracker), Equals(["a/two"]))
+    record_crashes(tracker, "a/one", "F", served_s=0.06)
+    assert_that(sorted(list_withheld(tracker)), Equals(["a/one", "a/two"]))
 
 
-def test_a_clean_run_clears(ledger: SuspectLedger) -> None:
-    note_ends(ledger, CAUSE, "AB")
-    assert_that(ledger.clear(CAUSE), Is(True))
-    note_ends(ledger, CAUSE, "C")
-    assert_that(list_withheld(ledger), HasLength(0))
+def test_a_normal_completion_clears_a_request(tracker: SuspectLedger) -> None:
+    record_crashes(tracker, CAUSE, "AB")
+    assert_that(tracker.clear(CAUSE), Is(True))
+    record_crashes(tracker, CAUSE, "C")
+    assert_that(list_withheld(tracker), HasLength(0))
 
 
-def test_ends_are_forgotten_after_their_time(ledger: SuspectLedger) -> None:
-    note_ends(ledger, COMPANION, "AB")
-    note_ends(ledger, CAUSE, "CDE")
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
-    assert_that(list_withheld(ledger, NOW + FORGET_S + 1), Equals([CAUSE]))
-    assert_that(ledger.count_ends(COMPANION), Equals(0))
-    assert_that(list_withheld(ledger, NOW + WITHHELD_S + 1), HasLength(0))
-    assert_that(len(ledger), Equals(0))
+def test_crashes_expire(tracker: SuspectLedger) -> None:
+    record_crashes(tracker, BYSTANDER, "AB")
+    record_crashes(tracker, CAUSE, "CDE")
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
+    assert_that(list_withheld(tracker, NOW + FORGET_S + 1), Equals([CAUSE]))
+    assert_that(tracker.count_ends(BYSTANDER), Equals(0))
+    assert_that(list_withheld(tracker, NOW + WITHHELD_S + 1), HasLength(0))
+    assert_that(len(tracker), Equals(0))
 
 
-def test_a_flood_of_requests_drives_out_no_withheld_one(
-    ledger: SuspectLedger,
+def test_a_flood_of_requests_evicts_no_withheld_one(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, CAUSE, "ABC")
+    record_crashes(tracker, CAUSE, "ABC")
     for number in range(2 * MAX_CONTENTS):
-        note_ends(ledger, f"a/{number}", "A")
-    assert_that(len(ledger), Equals(MAX_CONTENTS))
-    assert_that(list_withheld(ledger), Equals([CAUSE]))
+        record_crashes(tracker, f"a/{number}", "A")
+    assert_that(len(tracker), Equals(MAX_CONTENTS))
+    assert_that(list_withheld(tracker), Equals([CAUSE]))
 
 
-def test_what_is_told_is_bounded(ledger: SuspectLedger) -> None:
-    note_ends(ledger, CAUSE, "ABC")
+def test_the_announced_list_is_bounded(tracker: SuspectLedger) -> None:
+    record_crashes(tracker, CAUSE, "ABC")
     for number in range(2 * MAX_TOLD):
-        note_ends(ledger, f"a/{number}", "XY")
-    told = ledger.judge(LATER)
-    assert_that(len(told), Equals(MAX_TOLD))
-    assert_that(told[0].content, Equals(CAUSE))
+        record_crashes(tracker, f"a/{number}", "XY")
+    announced = tracker.judge(LATER)
+    assert_that(len(announced), Equals(MAX_TOLD))
+    assert_that(announced[0].content, Equals(CAUSE))
 
 
-def test_a_new_leader_goes_on_with_what_was_told(
-    ledger: SuspectLedger,
+def test_a_new_leader_keeps_the_announced_suspects(
+    tracker: SuspectLedger,
 ) -> None:
-    note_ends(ledger, CAUSE, "ABC")
-    note_ends(ledger, COMPANION, "AB", served_s=0.3)
+    record_crashes(tracker, CAUSE, "ABC")
+    record_crashes(tracker, BYSTANDER, "AB", served_s=0.3)
     successor = SuspectLedger()
-    for suspect in ledger.judge(LATER):
+    for suspect in tracker.judge(LATER):
         successor.note_suspect(suspect, LATER)
     assert_that(list_withheld(successor), Equals([CAUSE]))
-    note_ends(successor, COMPANION, "C", served_s=0.3)
+    record_crashes(successor, BYSTANDER, "C", served_s=0.3)
     assert_that(list_withheld(successor, LATER + 1), Equals([CAUSE]))
 
 
 def make_suspect(*, is_withheld: bool) -> Suspect:
-    ends = tuple(ServerEnd(name, "n1", 0.0, 0.1) for name in "ABC")
-    return Suspect(CAUSE, ends, is_withheld)
+    crashes = tuple(ServerEnd(name, "n1", 0.0, 0.1) for name in "ABC")
+    return Suspect(CAUSE, crashes, is_withheld)
 
 
-def test_a_node_withholds_what_the_leader_or_itself_has_found() -> None:
+def test_a_node_withholds_what_it_or_the_leader_found() -> None:
     table = SuspectTable()
     withheld = make_suspect(is_withheld=True)
     suspected = make_suspect(is_withheld=False)
     begun, _ = table.use((), (withheld,))
-    assert_that([one.content for one in begun], Equals([CAUSE]))
+    assert_that([suspect.content for suspect in begun], Equals([CAUSE]))
     begun, ended = table.use((withheld,), (suspected,))
     assert_that((*begun, *ended), HasLength(0))
     assert_that(table.find_withheld(CAUSE) == withheld, Is(True))
@@ -225,23 +236,23 @@
         {"body": b"other"},
     ],
 )
-def test_only_the_same_content_has_the_same_name(
+def test_only_the_same_content_has_the_same_identifier(
     changes: dict[str, object],
 ) -> None:
     assert_that(identify(), Equals(identify()))
     assert_that(identify(**changes), Not(Equals(identify())))
 
 
-def test_the_port_of_a_host_does_not_count() -> None:
+def test_the_port_of_a_host_is_ignored() -> None:
     assert_that(identify(host="Site.example:8227"), Equals(identify()))
 
 
-def test_long_names_of_workspaces_stay_apart() -> None:
+def test_workspaces_with_the_same_long_prefix_are_distinguished() -> None:
     long = "w" * 300
     name = identify(workspace=long)
-    assert_that(len(name), LessThan(MAX_SHOWN + 20))
+    assert_that(len(name), LessThan(MAX_SHOWN_CHARACTERS + 20))
     assert_that(identify(workspace=long + "x"), Not(Equals(name)))
 
 
-def test_the_bound_is_three() -> None:
+def test_a_request_may_crash_three_servers_at_most() -> None:
     assert_that(MAX_ENDS, Equals(3))
