--- a/chervilrock/tasks/serving/dependency.py
+++ b/chervilrock/tasks/serving/dependency.py
@@ -1,24 +1,24 @@
-"""A log line when something that a node depends on is lost or back."""
+"""Log events for the loss and recovery of a dependency of a node."""
 
 from chervilrock.events import emit, Event
 
 
 class Dependency:
-    """Whether something a node depends on answers.
+    """Availability of a system that a node depends on.
 
     Attributes:
       name: name for the log.
-      answered: when it last answered.
+      answered: time of its last answer.
     """
 
     def __init__(self, *, name: str, now: float) -> None:
-        """Count it as there."""
+        """Create a dependency that counts as available."""
         self.name = name
         self.answered = now
         self._lost_at: float | None = None
 
     def note_answer(self, now: float) -> None:
-        """Note an answer."""
+        """Record an answer; log the recovery after a loss."""
         self.answered = now
         if self._lost_at is not None:
             seconds = round(now - self._lost_at, 3)
@@ -28,7 +28,7 @@
             self._lost_at = None
 
     def note_failure(self, reason: str, now: float) -> None:
-        """Note that there was no answer."""
+        """Record a failed call; log the first one as a loss."""
         if self._lost_at is None:
             self._lost_at = now
             emit(Event.DEPENDENCY_LOST, dependency=self.name, reason=reason)
--- a/chervilrock/tasks/serving/messages.py
+++ b/chervilrock/tasks/serving/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the task that knows the installation."""
+"""Messages to the main task of a node."""
 
 from typing import NamedTuple
 
@@ -13,12 +13,13 @@
 
 
 class RecordsRead(NamedTuple):
-    """Records of a topic came.
+    """Records of a topic were read.
 
     Attributes:
-      topic: topic that was read.
+      topic: the topic.
       page: the records.
-      is_snapshot: whether keys that are not in it do not exist.
+      is_snapshot: whether the page is complete, so that absent keys do not
+        exist.
     """
 
     topic: Topic
@@ -27,12 +28,12 @@
 
 
 class ReadFailed(NamedTuple):
-    """A topic could not be read.
+    """A read of a topic failed.
 
     Attributes:
-      topic: topic that was to be read.
-      reason: why, for the log.
-      is_silent: whether there was no answer until the timeout.
+      topic: the topic.
+      reason: reason for the log.
+      is_silent: whether the read timed out.
     """
 
     topic: Topic
@@ -41,7 +42,7 @@
 
 
 class OrderAnswered(NamedTuple):
-    """A server answered to an order; the reply is None when it did not."""
+    """An order to a server completed; the reply is None without an answer."""
 
     server: str
     order: Order
@@ -50,25 +51,26 @@
 
 
 class ServerAnswered(NamedTuple):
-    """A server told its state; the report is None when it did not."""
+    """A status query completed; the report is None without an answer."""
 
     server: str
     report: ServerReport | None
 
 
 class PeerAnswered(NamedTuple):
-    """A node answered to an announcement, or did not."""
+    """An announcement completed; its acknowledgement is None on failure."""
 
     incarnation: str
     acknowledgement: Acknowledgement | None
 
 
 class ClaimAnswered(NamedTuple):
-    """The store answered to a claim to lead, or did not.
+    """The write of a leadership claim completed.
 
     Attributes:
-      is_answered: whether there was an answer.
-      is_overtaken: whether another record took the offset of the claim.
+      is_answered: whether the store answered.
+      is_overtaken: whether another record was written first, at the offset of
+        the claim.
     """
 
     is_answered: bool
@@ -76,21 +78,21 @@
 
 
 class RegistrationAnswered(NamedTuple):
-    """The store answered to the record of this node.
+    """The write of this node's record completed.
 
     Attributes:
-      offset: offset of the record, None when no answer came.
+      offset: offset of the record, None without an answer.
     """
 
     offset: int | None
 
 
 class DocumentRead(NamedTuple):
-    """Another node gave its configuration.
+    """The configuration of another node was fetched.
 
     Attributes:
-      document: as the operator wrote it.
-      source: name of the node.
+      document: the document as the operator wrote it.
+      source: name of the other node.
     """
 
     document: bytes
@@ -98,19 +100,19 @@
 
 
 class ServerChecked(NamedTuple):
-    """A server whose connection broke was looked at."""
+    """The liveness of a server whose connection broke was checked."""
 
     server: str
     is_alive: bool
 
 
 class EndsAnswered(NamedTuple):
-    """A node took a report of ends, or did not.
+    """A crash report to a node completed.
 
     Attributes:
-      incarnation: the node.
+      incarnation: incarnation of the node.
       report: the report.
-      is_taken: whether it answered.
+      is_taken: whether the node answered.
     """
 
     incarnation: str
@@ -119,12 +121,12 @@
 
 
 class SuspectWritten(NamedTuple):
-    """The store took the record of a withheld request, or did not.
+    """The write of the record of a withheld request completed.
 
     Attributes:
-      content: the request.
-      is_withheld: what was written of it.
-      is_written: whether the store confirmed it.
+      content: key of the request's content.
+      is_withheld: whether the record was added; otherwise it was cleared.
+      is_written: whether the store confirmed the write.
     """
 
     content: str
@@ -133,17 +135,17 @@
 
 
 class SilenceSeen(NamedTuple):
-    """The streams of a group have stopped, as a node sees it."""
+    """A node reported that the streams of a group have stalled."""
 
     group: str
 
 
 class LimitHeard(NamedTuple):
-    """A node has heard a limit of a server, or that it has none any more.
+    """A node reported the stated rate limit of a server.
 
     Attributes:
       server: identifier of the server.
-      rate: requests a second that it takes, None for no limit.
+      rate: accepted requests per second, None for no limit.
     """
 
     server: str
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -1,7 +1,7 @@
 """Calls of a node to the store, to servers and to other nodes.
 
-Each call is a task of its own; its end comes back as a message, so that the
-task that knows the installation never waits.
+Each call runs in its own asyncio task. Its outcome comes back as a message, so
+that the main task of the node never waits for I/O.
 """
 
 import asyncio
@@ -57,40 +57,41 @@
 SUSPECT_PREFIX = "withheld/"
 
 ORDER_TIMEOUT_S = 0.5
-"""Longest time for the answer to an order; servers answer in some
-milliseconds, and orders without an answer are repeated."""
+"""Timeout of an order to a server. Servers answer within some milliseconds, and
+unanswered orders are sent again."""
 
-REPORT_TIMEOUT_S = 0.2
-"""Longest time for a server's report; a sound server answers within some
-milliseconds, also when it is busy."""
+STATUS_TIMEOUT_S = 0.2
+"""Timeout of a status query to a server. A healthy server answers within some
+milliseconds, also under load."""
 
 PEER_TIMEOUT_S = 0.6
-"""Longest time for the answer of another node."""
+"""Timeout of a request to another node."""
 
-ENDS_TIMEOUT_S = 0.3
-"""Longest time for the leader to take a report of ended servers: until then
-nobody else knows of them."""
+CRASH_REPORT_TIMEOUT_S = 0.3
+"""Timeout of a crash report to the leader. No other node has the report until
+the leader accepts it."""
 
 DOCUMENT_TIMEOUT_S = 2.0
-"""Longest time for another node's configuration, which can be large."""
+"""Timeout of a request for another node's configuration, which can be large."""
 
-REGISTER_RETRY_S = 0.5
-"""Pause after an attempt to register that failed."""
+STORE_RETRY_S = 0.5
+"""Pause after a failed attempt to write a record of this node or of a withheld
+request to the store."""
 
 Decode = Callable[[bytes], Result[SiteConfiguration, str]]
 DecodeServer = Callable[[str, bytes], Result[BackendServer, str]]
 
 
 class Ports(NamedTuple):
-    """What a node reaches the outside by.
+    """Interfaces of a node to other systems.
 
     Attributes:
       store: the store.
       engines: backend servers.
-      client: client for other nodes.
-      decode_configuration: reads a document of the operator.
-      decode_server: reads the entry of a server.
-      liveness: tells whether backend servers live.
+      client: HTTP client for other nodes.
+      decode_configuration: decodes a configuration document.
+      decode_server: decodes the entry of a server.
+      liveness: checks whether backend servers are alive.
     """
 
     store: KeyedStore
@@ -102,32 +103,32 @@
 
 
 class Outbound:
-    """Starts calls and sends what comes of them to a mailbox."""
+    """Starts calls and sends their outcomes to a mailbox."""
 
     def __init__(self, *, ports: Ports, outbox: Outbox[Message]) -> None:
-        """Call by some ports.
+        """Create an object without pending calls.
 
         Args:
-          ports: store, servers and other nodes.
-          outbox: gets the ends of the calls.
+          ports: clients for the store, servers and other nodes.
+          outbox: receives the outcomes of the calls.
         """
         self._ports = ports
         self._outbox = outbox
         self._tasks: set[asyncio.Task[None]] = set()
 
     def close(self) -> None:
-        """Give all calls up."""
+        """Cancel all pending calls."""
         for task in self._tasks:
             task.cancel()
 
     def follow(
         self, topic: Topic, choose_pace: Callable[[], Pace]
     ) -> Following:
-        """Follow a topic of the store.
+        """Start to follow a topic of the store.
 
         Args:
-          topic: what to follow.
-          choose_pace: returns how often to read, before each read.
+          topic: topic to follow.
+          choose_pace: called before each read; returns the polling schedule.
         """
         follower = TopicFollower(
             store=self._ports.store,
@@ -138,48 +139,48 @@
         return Following(follower=follower, start=self._start)
 
     def register(self, own: NodeEntry) -> None:
-        """Write the record of this node."""
+        """Write the record of this node to the store."""
         self._start(self._write_node(own))
 
     def claim(self, entry: LeaderEntry, end: int) -> None:
-        """Claim to lead if nothing was written since an offset."""
+        """Claim leadership, unless a record was written since an offset."""
         self._start(self._write_claim(entry, end))
 
     def order(self, command: Command) -> None:
-        """Give an order to a server."""
+        """Send an order to a server."""
         self._start(self._send_order(command))
 
     def ask(self, server: BackendServer) -> None:
-        """Ask a server for its state."""
-        self._start(self._ask_server(server))
+        """Query the status of a server."""
+        self._start(self._query_server(server))
 
     def announce(self, entry: NodeEntry, body: bytes) -> "asyncio.Task[None]":
-        """Send a node an encoded announcement."""
+        """Send an encoded announcement to a node."""
         return self._start(self._announce(entry, body))
 
     def tell_silence(self, leader: NodeEntry, group: str) -> None:
-        """Tell the leader that the streams of a group have stopped."""
-        self._start(self._tell_silence(leader, group))
+        """Report to the leader that the streams of a group have stalled."""
+        self._start(self._send_stall_report(leader, group))
 
-    def tell_limit(self, leader: NodeEntry, heard: LimitHeard) -> None:
-        """Tell the leader what a server says of its limit."""
-        self._start(self._tell_limit(leader, heard))
+    def tell_limit(self, leader: NodeEntry, limit: LimitHeard) -> None:
+        """Report the stated rate limit of a server to the leader."""
+        self._start(self._send_limit_report(leader, limit))
 
     def check_server(self, server: str, address: str) -> None:
-        """Find out whether a server whose connection broke still lives."""
+        """Check whether a server whose connection broke is still alive."""
         self._start(self._check_server(server, address))
 
     def tell_ends(self, entry: NodeEntry, report: EndReport) -> None:
-        """Tell a node under which requests servers have ended."""
-        self._start(self._tell_ends(entry, report))
+        """Report to a node during which requests servers crashed."""
+        self._start(self._send_crash_report(entry, report))
 
     def write_suspect(self, content: str, suspect: Suspect | None) -> None:
-        """Keep a request that is withheld in the store, or drop it there."""
+        """Write the record of a withheld request, or clear it for None."""
         self._start(self._write_suspect(content, suspect))
 
     def fetch_document(self, holder: NodeEntry) -> None:
-        """Get the configuration of another node."""
-        self._start(self._read_document(holder))
+        """Fetch the configuration of another node."""
+        self._start(self._fetch_document(holder))
 
     def _start(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
         task = asyncio.create_task(work)
@@ -193,8 +194,8 @@
         result = await self._ports.store.append(Topic.NODES, key, value, None)
         offset = None if isinstance(result, Failure) else result.unwrap()
         if offset is None:
-            # Registering twice does no harm; the record is the same.
-            await asyncio.sleep(REGISTER_RETRY_S)
+            # Registration is idempotent: a second record is identical.
+            await asyncio.sleep(STORE_RETRY_S)
         await self._outbox.send(RegistrationAnswered(offset))
 
     async def _write_claim(self, entry: LeaderEntry, end: int) -> None:
@@ -202,7 +203,7 @@
         result = await self._ports.store.append(
             Topic.NODES, LEADER_KEY, value, end
         )
-        # Who leads is only believed when it is read back.
+        # A claim takes effect only when its record is read back.
         is_answered = not isinstance(result, Failure)
         is_overtaken = is_answered and result.unwrap() is None
         await self._outbox.send(ClaimAnswered(is_answered, is_overtaken))
@@ -218,9 +219,9 @@
             OrderAnswered(command.server.server, command.order, reply, detail)
         )
 
-    async def _ask_server(self, server: BackendServer) -> None:
+    async def _query_server(self, server: BackendServer) -> None:
         result = await self._ports.engines.fetch_report(
-            server, REPORT_TIMEOUT_S
+            server, STATUS_TIMEOUT_S
         )
         report = None if isinstance(result, Failure) else result.unwrap()
         await self._outbox.send(ServerAnswered(server.server, report))
@@ -239,14 +240,14 @@
             PeerAnswered(entry.incarnation, acknowledgement)
         )
 
-    async def _tell(
+    async def _post_report(
         self,
         entry: NodeEntry,
         path: str,
         body: bytes,
         timeout_s: float = PEER_TIMEOUT_S,
     ) -> bool:
-        """Send a node a report; tell whether it took it."""
+        """Send a report to a node; return whether it was answered."""
         result = await self._ports.client.request(
             "POST",
             f"http://{entry.peer_address}/peer/{path}",
@@ -261,21 +262,27 @@
             )
         return not isinstance(result, Failure)
 
-    async def _tell_silence(self, leader: NodeEntry, group: str) -> None:
-        # If it fails, the next acknowledgement tells it again.
-        await self._tell(leader, f"silence/{group}", b"{}")
+    async def _send_stall_report(self, leader: NodeEntry, group: str) -> None:
+        # If this fails, the next acknowledgement repeats the report.
+        await self._post_report(leader, f"silence/{group}", b"{}")
 
-    async def _tell_limit(self, leader: NodeEntry, heard: LimitHeard) -> None:
-        # If it fails, it is told again until the leader tells all nodes.
-        await self._tell(leader, "limit", msgspec.json.encode(heard))
+    async def _send_limit_report(
+        self, leader: NodeEntry, limit: LimitHeard
+    ) -> None:
+        # The report is repeated until the leader announces the limit.
+        await self._post_report(leader, "limit", msgspec.json.encode(limit))
 
     async def _check_server(self, server: str, address: str) -> None:
         is_alive = await self._ports.liveness.is_alive(address)
         await self._outbox.send(ServerChecked(server, is_alive))
 
-    async def _tell_ends(self, entry: NodeEntry, report: EndReport) -> None:
+    async def _send_crash_report(
+        self, entry: NodeEntry, report: EndReport
+    ) -> None:
         body = msgspec.json.encode(report)
-        is_taken = await self._tell(entry, "ends", body, ENDS_TIMEOUT_S)
+        is_taken = await self._post_report(
+            entry, "ends", body, CRASH_REPORT_TIMEOUT_S
+        )
         await self._outbox.send(
             EndsAnswered(entry.incarnation, report, is_taken)
         )
@@ -289,12 +296,12 @@
         )
         is_written = not isinstance(result, Failure)
         if not is_written:
-            await asyncio.sleep(REGISTER_RETRY_S)
+            await asyncio.sleep(STORE_RETRY_S)
         await self._outbox.send(
             SuspectWritten(content, suspect is not None, is_written)
         )
 
-    async def _read_document(self, holder: NodeEntry) -> None:
+    async def _fetch_document(self, holder: NodeEntry) -> None:
         result = await self._ports.client.request(
             "GET",
             f"http://{holder.peer_address}/peer/configuration",
@@ -309,7 +316,7 @@
 def _read_acknowledgement(
     result: Result[HttpAnswer, PlatformError],
 ) -> Acknowledgement | None:
-    """Return the answer of a node, None when there is no usable one."""
+    """Return the acknowledgement of a node, None for no valid answer."""
     if isinstance(result, Failure):
         return None
     return decode_acknowledgement(result.unwrap().body)
--- a/chervilrock/tasks/serving/peermessages.py
+++ b/chervilrock/tasks/serving/peermessages.py
@@ -1,4 +1,7 @@
-"""Announcements and their answers as bytes, compressed when that pays."""
+"""Encoding and decoding of the messages between nodes.
+
+Announcements are compressed with gzip.
+"""
 
 import gzip
 
@@ -9,28 +12,29 @@
 from chervilrock.tasks.serving.messages import LimitHeard
 
 COMPRESSION_LEVEL = 1
-"""Level of gzip. Views repeat the same names: an announcement with one of 40
-groups shrinks from 5.4 to 0.8 kB in 0.03 ms, one without from 1.1 to 0.2 kB."""
+"""Compression level of gzip. Names recur in a view: an announcement with a view
+of 40 groups shrinks from 5.4 to 0.8 kB in 0.03 ms, one without a view from 1.1
+to 0.2 kB."""
 
 HEADERS = {
     "Content-Type": "application/json",
     "Content-Encoding": "gzip",
 }
-"""Headers of an encoded announcement."""
+"""HTTP headers of an encoded announcement."""
 
 _ANNOUNCEMENT = msgspec.json.Decoder(Announcement)
 _ACKNOWLEDGEMENT = msgspec.json.Decoder(Acknowledgement)
-_END_REPORT = msgspec.json.Decoder(EndReport)
+_CRASH_REPORT = msgspec.json.Decoder(EndReport)
 _LIMIT = msgspec.json.Decoder(LimitHeard)
 
 
 def encode_announcement(announcement: Announcement) -> bytes:
-    """Return the body that tells an announcement."""
+    """Return the compressed body of an announcement."""
     return compress(msgspec.json.encode(announcement))
 
 
 def decode_announcement(body: bytes) -> Announcement | None:
-    """Read a body that was uncompressed; None when it cannot be read."""
+    """Decode an uncompressed announcement; None for an invalid body."""
     try:
         return _ANNOUNCEMENT.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -38,7 +42,7 @@
 
 
 def decode_limit(body: bytes) -> LimitHeard | None:
-    """Read what a node has heard of a limit; None when it cannot be read."""
+    """Decode a limit report; None for an invalid body."""
     try:
         return _LIMIT.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -46,7 +50,7 @@
 
 
 def decode_acknowledgement(body: bytes) -> Acknowledgement | None:
-    """Read the answer to an announcement; None when it cannot be read."""
+    """Decode an acknowledgement; None for an invalid body."""
     try:
         return _ACKNOWLEDGEMENT.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -54,13 +58,13 @@
 
 
 def decode_ends(body: bytes) -> EndReport | None:
-    """Read a report of ended servers; None when it cannot be read."""
+    """Decode a crash report; None for an invalid body."""
     try:
-        return _END_REPORT.decode(body)
+        return _CRASH_REPORT.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
 
 
 def compress(body: bytes) -> bytes:
-    """Compress a body; the same body always gives the same bytes."""
+    """Compress a body with gzip; equal bodies give equal bytes."""
     return gzip.compress(body, COMPRESSION_LEVEL, mtime=0)
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -1,4 +1,4 @@
-"""The nodes that a leader or a relay speaks to."""
+"""Nodes to which a leader or a relay sends announcements."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from typing import NamedTuple
@@ -16,104 +16,105 @@
 from chervilrock.events import emit, Event
 from chervilrock.tasks.serving.peermessages import encode_announcement
 
-LOST_INTERVAL_S = 1.0
-"""Time between two announcements to a node that does not answer."""
+UNRESPONSIVE_INTERVAL_S = 1.0
+"""Time between two announcements to an unresponsive node."""
 
 LIVE_INTERVALS = 4
-"""Intervals after the last answer for which a node counts as live: three
-announcements may be lost."""
+"""Number of intervals after its last answer for which a node counts as live.
+Three announcements in a row may be lost."""
 
-FORGET_S = 30.0
-"""Time without an answer after which a node is no longer spoken to."""
+DROP_AFTER_S = 30.0
+"""Time without an answer after which a node gets no more announcements."""
 
 
 class Peer:
-    """What is known of a node.
+    """State of the announcements to a node.
 
     Attributes:
       entry: the node.
-      answered: when it last answered, or was first known.
-      sent: when it was last spoken to.
-      is_asked: whether an answer is awaited.
-      is_tried: whether it has answered, or failed to, at least once.
-      told_revision: newest revision that it was told of.
+      answered_at: time of its last answer, or of its addition.
+      sent_at: time of the last announcement to it.
+      is_answer_pending: whether an answer is pending.
+      has_outcome: whether any announcement to it was answered or failed.
+      announced_revision: newest revision that was announced to it.
       acknowledgement: its last answer, None before the first.
     """
 
     def __init__(self, *, entry: NodeEntry, now: float) -> None:
-        """Count a new node as live for now."""
+        """Create the state of a new node, which counts as live at first."""
         self.entry = entry
-        self.answered = now
-        self.sent = float("-inf")
-        self.is_asked = False
-        self.is_tried = False
-        self.told_revision = -1
+        self.answered_at = now
+        self.sent_at = float("-inf")
+        self.is_answer_pending = False
+        self.has_outcome = False
+        self.announced_revision = -1
         self.acknowledgement: Acknowledgement | None = None
 
     def is_live(self, interval_s: float, now: float) -> bool:
-        """Tell whether the node answered lately.
+        """Return whether the node answered recently.
 
         Args:
           interval_s: time between two announcements.
           now: present time.
         """
-        return now - self.answered <= LIVE_INTERVALS * interval_s
+        return now - self.answered_at <= LIVE_INTERVALS * interval_s
 
     def is_busy(self, relays: frozenset[str]) -> bool:
-        """Tell whether the node runs requests, or speaks for others."""
+        """Return whether the node runs requests or is a relay."""
         if self.entry.incarnation in relays:
             return True
         answer = self.acknowledgement
         return answer is not None and bool(answer.loads)
 
-    def is_due(self, news: "News", *, has_news: bool, now: float) -> bool:
-        """Tell whether to speak to the node now.
+    def is_due(self, update: "News", *, has_update: bool, now: float) -> bool:
+        """Return whether an announcement to the node is due.
 
         Args:
-          news: what there is to tell, and how often.
-          has_news: whether there is more to tell than that the leader lives.
+          update: the update with its intervals.
+          has_update: whether the node lacks a part of the update, so that the
+            announcement is more than a heartbeat.
           now: present time.
         """
-        if self.is_asked or now - self.answered > FORGET_S:
+        if self.is_answer_pending or now - self.answered_at > DROP_AFTER_S:
             return False
-        if not self.is_live(news.interval_s, now):
-            return now - self.sent >= LOST_INTERVAL_S
-        is_busy = self.is_busy(news.relays)
-        pause_s = news.busy_pause_s if is_busy else news.idle_pause_s
-        return has_news or now - self.sent >= pause_s
-
-    def knows_view(self, view: ServingView) -> bool:
-        """Tell whether the node has answered that it uses a view."""
+        if not self.is_live(update.interval_s, now):
+            return now - self.sent_at >= UNRESPONSIVE_INTERVAL_S
+        is_busy = self.is_busy(update.relays)
+        pause_s = update.busy_pause_s if is_busy else update.idle_pause_s
+        return has_update or now - self.sent_at >= pause_s
+
+    def has_view(self, view: ServingView) -> bool:
+        """Return whether the node has acknowledged a view."""
         answer = self.acknowledgement
         return answer is not None and answer.version >= view.version
 
-    def knows_nodes(self, version: tuple[int, int]) -> bool:
-        """Tell whether the node has answered that it has a list of nodes."""
+    def has_nodes(self, version: tuple[int, int]) -> bool:
+        """Return whether the node has acknowledged a list of nodes."""
         answer = self.acknowledgement
         return answer is not None and answer.nodes_version == version
 
-    def knows_suspects(self, version: tuple[int, int]) -> bool:
-        """Tell whether the node has answered that it has a list of suspects."""
+    def has_suspects(self, version: tuple[int, int]) -> bool:
+        """Return whether the node has acknowledged a list of suspects."""
         answer = self.acknowledgement
         return answer is not None and answer.suspects_version == version
 
 
 class News(NamedTuple):
-    """What there is to tell.
+    """Content and intervals of the next announcements.
 
     Attributes:
-      base: what every node is told.
-      view: the view, for nodes that lack it.
-      nodes: nodes that take callers, for nodes that lack the list.
-      nodes_version: term and number of that list.
-      interval_s: longest time between two announcements.
-      busy_pause_s: least time between two announcements to a node that runs
-        requests or passes them on.
-      idle_pause_s: least time between two to any other node. Of 195 nodes 20 to
-        30 run requests, and only these need to know the loads often.
-      relays: incarnations of the nodes that pass the announcement on.
-      suspects: suspected requests, for nodes that lack the list.
-      suspects_version: term and number of that list.
+      base: the part that is common to all nodes.
+      view: the view, sent to nodes that lack it.
+      nodes: nodes that accept callers, sent to nodes that lack the list.
+      nodes_version: term and sequence number of that list.
+      interval_s: maximum time between two announcements.
+      busy_pause_s: minimum time between two announcements to a node that runs
+        requests or is a relay.
+      idle_pause_s: minimum time between two announcements to any other node.
+        Only nodes that run requests, 20 to 30 of 195, need frequent loads.
+      relays: incarnations of the relays.
+      suspects: suspect requests, sent to nodes that lack the list.
+      suspects_version: term and sequence number of that list.
     """
 
     base: Announcement
@@ -129,14 +130,18 @@
 
 
 Send = Callable[[NodeEntry, bytes], Awaitable[None]]
-"""Begins to send an encoded announcement; the result is done with its end."""
+"""Starts to send an encoded announcement; its result ends with the call."""
 
 
 class Peers:
-    """Tells a set of nodes what there is to tell, and adds up their answers."""
+    """Sends announcements to a set of nodes and summarizes their answers."""
 
     def __init__(self, *, send: Send) -> None:
-        """Know no node yet."""
+        """Create an empty set of nodes.
+
+        Args:
+          send: sends an announcement to a node.
+        """
         self._send = send
         self._peers: dict[str, Peer] = {}
 
@@ -144,8 +149,8 @@
         return len(self._peers)
 
     def sync(self, nodes: Iterable[NodeEntry], now: float) -> None:
-        """Speak to these nodes from now on, and to no others."""
-        current = {one.incarnation: one for one in nodes}
+        """Replace the set of nodes; the state of remaining nodes is kept."""
+        current = {node.incarnation: node for node in nodes}
         for incarnation in set(self._peers) - set(current):
             del self._peers[incarnation]
         for incarnation, entry in current.items():
@@ -153,11 +158,11 @@
                 self._peers[incarnation] = Peer(entry=entry, now=now)
 
     def count_busy(self, relays: frozenset[str]) -> int:
-        """Return how many nodes run requests, or speak for others."""
-        return sum(one.is_busy(relays) for one in self._peers.values())
+        """Return how many nodes run requests or are relays."""
+        return sum(peer.is_busy(relays) for peer in self._peers.values())
 
     def find(self, incarnation: str) -> NodeEntry | None:
-        """Return a node that is spoken to."""
+        """Return the entry of a node, None if it is not in the set."""
         peer = self._peers.get(incarnation)
         return None if peer is None else peer.entry
 
@@ -168,76 +173,77 @@
         interval_s: float,
         now: float,
     ) -> None:
-        """Take what came of an announcement; None when nothing came."""
+        """Record the answer to an announcement, None for a failed call."""
         peer = self._peers.get(incarnation)
         if peer is None:
             return
-        peer.is_asked = False
-        peer.is_tried = True
+        peer.is_answer_pending = False
+        peer.has_outcome = True
         if answer is None or answer.node.incarnation != incarnation:
             return
         was_live = peer.acknowledgement is not None and peer.is_live(
             interval_s, now
         )
-        peer.answered = now
+        peer.answered_at = now
         peer.acknowledgement = answer
         if not was_live:
             emit(Event.NODE_SEEN, node=peer.entry.node)
 
     def announce(
-        self, news: News, now: float, *, is_last: bool = False
+        self, update: News, now: float, *, is_last: bool = False
     ) -> list[Awaitable[None]]:
-        """Tell the nodes whose turn it is.
+        """Send announcements to the nodes for which one is due.
 
-        Nodes that lack the same get the same bytes: at 77 nodes a leader that
-        encodes for each of them spends most of its time on that.
+        Nodes that lack the same parts share one encoded body: with 77 nodes, a
+        leader that encodes for each node spends most of its time on it.
 
         Args:
-          news: what to tell.
+          update: the update to send.
           now: present time.
-          is_last: whether nothing comes after it, so that also nodes whose
-            answer is awaited have to get it.
+          is_last: whether this is the final announcement, which also goes to
+            nodes with a pending answer.
 
         Returns:
-          The sends, each done when it has ended.
+          The calls, each of which completes with its answer or failure.
         """
         sends: list[Awaitable[None]] = []
         encoded: dict[tuple[bool, ...], bytes] = {}
         for peer in self._peers.values():
-            knows_view = peer.knows_view(news.view)
-            knows_nodes = peer.knows_nodes(news.nodes_version)
-            knows_suspects = peer.knows_suspects(news.suspects_version)
-            is_told = peer.told_revision >= news.base.revision
-            knows_lists = knows_nodes and knows_suspects
-            has_news = not (knows_view and knows_lists and is_told)
-            is_due = peer.is_due(news, has_news=has_news, now=now)
+            has_view = peer.has_view(update.view)
+            has_nodes = peer.has_nodes(update.nodes_version)
+            has_suspects = peer.has_suspects(update.suspects_version)
+            has_revision = peer.announced_revision >= update.base.revision
+            has_lists = has_nodes and has_suspects
+            has_update = not (has_view and has_lists and has_revision)
+            is_due = peer.is_due(update, has_update=has_update, now=now)
             if not is_due and not is_last:
                 continue
-            is_relay = peer.entry.incarnation in news.relays
-            variant = (knows_view, knows_nodes, knows_suspects, is_relay)
+            is_relay = peer.entry.incarnation in update.relays
+            variant = (has_view, has_nodes, has_suspects, is_relay)
             if variant not in encoded:
                 encoded[variant] = encode_announcement(
-                    news.base._replace(
-                        view=None if knows_view else news.view,
-                        nodes=None if knows_nodes else news.nodes,
-                        suspects=None if knows_suspects else news.suspects,
+                    update.base._replace(
+                        view=None if has_view else update.view,
+                        nodes=None if has_nodes else update.nodes,
+                        suspects=None if has_suspects else update.suspects,
                         is_relay=is_relay,
                     )
                 )
-            peer.is_asked = True
-            peer.sent = now
-            peer.told_revision = news.base.revision
+            peer.is_answer_pending = True
+            peer.sent_at = now
+            peer.announced_revision = update.base.revision
             sends.append(self._send(peer.entry, encoded[variant]))
         return sends
 
-    def is_tried(self) -> bool:
-        """Tell whether each node has answered, or failed to, once."""
-        return all(one.is_tried for one in self._peers.values())
+    def has_all_outcomes(self) -> bool:
+        """Return whether each node has answered or failed at least once."""
+        return all(peer.has_outcome for peer in self._peers.values())
 
     def summarize(self, interval_s: float, now: float) -> Summary:
-        """Add the answers of the live nodes up."""
+        """Return the summary of the answers of all live nodes."""
         return add_up(
-            summarize(one.acknowledgement)
-            for one in self._peers.values()
-            if one.acknowledgement is not None and one.is_live(interval_s, now)
+            summarize(peer.acknowledgement)
+            for peer in self._peers.values()
+            if peer.acknowledgement is not None
+            and peer.is_live(interval_s, now)
         )
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -1,4 +1,4 @@
-"""Passing announcements on within a data centre."""
+"""Forwarding of announcements within a data centre."""
 
 from chervilrock.decisions.serving.leadership import (
     find_pause,
@@ -13,53 +13,58 @@
 
 
 class Relay:
-    """Tells the nodes of the own data centre what the leader tells this one.
+    """Forwards the announcements of the leader to the own data centre.
 
-    It speaks only when the leader has spoken, so that these nodes miss a
-    leader that is gone.
+    It sends only in response to an announcement, so that the nodes behind it
+    also lose contact when the leader fails.
     """
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
-        """Pass on what a node takes over into its state."""
+        """Create a relay that has not forwarded anything.
+
+        Args:
+          state: state of this node, to which announcements were applied.
+          outbound: makes calls.
+        """
         self._state = state
         self._outbound = outbound
         self._peers = Peers(send=outbound.announce)
         self._term = -1
         self._lost_after_s = 0.0
-        self._passed = float("-inf")
+        self._forwarded_at = float("-inf")
 
     def pass_on(self, announcement: Announcement, now: float) -> Summary | None:
-        """Pass an announcement on that was taken over.
+        """Forward an announcement that was applied to the state.
 
         Returns:
-          What the nodes have answered so far, None while one of them was not
-          tried yet, or when this node is not the relay.
+          Summary of the latest answers of the nodes. None when this node is not
+          the relay, or while one of the nodes has neither answered nor failed.
         """
         if not announcement.is_relay:
             return None
-        # After a pause, old answers would count as those of lost nodes.
+        # After a pause, outdated answers would make nodes look lost.
         if announcement.term != self._term or not self.is_active(now):
             self._peers = Peers(send=self._outbound.announce)
         self._term = announcement.term
-        self._passed = now
+        self._forwarded_at = now
         self._lost_after_s = announcement.lost_after_s
         self._sync(announcement, now)
-        news = self._make_news(announcement)
-        self._peers.announce(news, now, is_last=announcement.is_stopping)
-        if not self._peers.is_tried():
+        update = self._make_update(announcement)
+        self._peers.announce(update, now, is_last=announcement.is_stopping)
+        if not self._peers.has_all_outcomes():
             return None
         return self._peers.summarize(self._interval_s, now)
 
     def is_active(self, now: float) -> bool:
-        """Tell whether the leader has this node pass announcements on."""
-        return now - self._passed <= self._lost_after_s
+        """Return whether the leader currently uses this node as a relay."""
+        return now - self._forwarded_at <= self._lost_after_s
 
     @property
     def _interval_s(self) -> float:
         return self._lost_after_s / SILENT_INTERVALS
 
     def note_answered(self, answered: PeerAnswered, now: float) -> None:
-        """Note what came of an announcement that was passed on."""
+        """Record the answer to a forwarded announcement."""
         self._peers.take(
             answered.incarnation,
             answered.acknowledgement,
@@ -72,15 +77,15 @@
         skipped = {own.incarnation, announcement.leader.incarnation}
         self._peers.sync(
             [
-                one
-                for one in self._state.known_nodes.values()
-                if one.data_centre == own.data_centre
-                and one.incarnation not in skipped
+                node
+                for node in self._state.known_nodes.values()
+                if node.data_centre == own.data_centre
+                and node.incarnation not in skipped
             ],
             now,
         )
 
-    def _make_news(self, announcement: Announcement) -> News:
+    def _make_update(self, announcement: Announcement) -> News:
         state = self._state
         return News(
             base=announcement._replace(
--- a/chervilrock/tasks/serving/room.py
+++ b/chervilrock/tasks/serving/room.py
@@ -1,4 +1,4 @@
-"""Requests that wait at this node for a place."""
+"""Queue of requests that wait at this node for a slot."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,26 +6,28 @@
 
 from chervilrock.tasks.clock import read_clock
 
-Try = Callable[[], bool]
-"""Tries to take a place; tells whether it got one."""
+TryAcquire = Callable[[], bool]
+"""Tries to acquire a slot; returns whether it succeeded."""
 
 
 class _Waiter:
-    """A request that waits."""
+    """A waiting request."""
 
-    def __init__(self, *, order: tuple[float, ...], attempt: Try) -> None:
+    def __init__(
+        self, *, order: tuple[float, ...], attempt: TryAcquire
+    ) -> None:
         self.order = order
         self.attempt = attempt
-        self.place: asyncio.Future[bool] = (
+        self.outcome: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
 
 
 class WaitingRoom:
-    """Lets requests wait, by rank and then in order of arrival."""
+    """Queue of waiting requests, by rank and then in order of arrival."""
 
     def __init__(self) -> None:
-        """Start with an empty room."""
+        """Create an empty queue."""
         self._waiters: list[_Waiter] = []
         self._numbers = itertools.count()
 
@@ -33,36 +35,38 @@
         return len(self._waiters)
 
     async def wait(
-        self, attempt: Try, *, rank: tuple[float, ...], until: float
+        self, attempt: TryAcquire, *, rank: tuple[float, ...], until: float
     ) -> bool:
-        """Wait for a place; tell whether one was taken in time.
+        """Wait for a slot; return whether one was acquired in time.
 
         Args:
-          attempt: tries to take a place.
-          rank: what orders the requests; the smallest goes first.
-          until: when the wait ends at the latest.
+          attempt: tries to acquire a slot.
+          rank: sort key of the request; the smallest goes first.
+          until: time at which the wait ends at the latest.
         """
         order = (*rank, next(self._numbers))
         waiter = _Waiter(order=order, attempt=attempt)
         self._waiters.append(waiter)
-        self._waiters.sort(key=lambda one: one.order)
+        self._waiters.sort(key=lambda queued: queued.order)
         try:
             async with asyncio.timeout(max(0.0, until - read_clock())):
-                return await waiter.place
+                return await waiter.outcome
         except TimeoutError:
-            place = waiter.place
-            return place.done() and not place.cancelled() and place.result()
+            outcome = waiter.outcome
+            return (
+                outcome.done() and not outcome.cancelled() and outcome.result()
+            )
         finally:
             self._waiters.remove(waiter)
 
     def notify(self) -> None:
-        """Let the waiting requests try again, since a place may be free."""
+        """Let waiting requests try to acquire a slot, in their order."""
         for waiter in list(self._waiters):
-            if not waiter.place.done() and waiter.attempt():
-                waiter.place.set_result(True)
+            if not waiter.outcome.done() and waiter.attempt():
+                waiter.outcome.set_result(True)
 
-    def dismiss(self) -> None:
-        """Let all waits end without a place."""
+    def end_all(self) -> None:
+        """End all waits without a slot."""
         for waiter in self._waiters:
-            if not waiter.place.done():
-                waiter.place.set_result(False)
+            if not waiter.outcome.done():
+                waiter.outcome.set_result(False)
--- a/chervilrock/tasks/serving/state.py
+++ b/chervilrock/tasks/serving/state.py
@@ -1,6 +1,6 @@
-"""What the handlers of requests share with the task that keeps it current.
+"""State that request handlers share with the task that updates it.
 
-All of it is used in one event loop and nothing waits in between.
+It is used in a single event loop, and no method yields to the loop.
 """
 
 from collections.abc import Iterable, Mapping
@@ -36,16 +36,22 @@
 
 Endpoint = TypeVar("Endpoint", GroupEndpoint, ServerEndpoint)
 
-DOUBT_S = 2.0
-"""Time for which an endpoint that failed is avoided: the leader has looked
-into it and told a new view by then."""
+AVOIDED_S = 2.0
+"""Time for which an endpoint that failed is avoided. By then the leader has
+checked the endpoint and announced a new view."""
 
 
 _MS_PER_S = 1000
 
 
 class RepeatBounds(NamedTuple):
-    """Bounds of repeats that all nodes share."""
+    """Limits on retries that all nodes share.
+
+    Attributes:
+      ratio: retries allowed for each request.
+      slack: further retries allowed in a window, over all nodes.
+      window_s: length of the window.
+    """
 
     ratio: float
     slack: float
@@ -58,19 +64,19 @@
     Attributes:
       own: this node.
       routes: routes in force, None before the first configuration.
-      view: what takes requests.
-      view_time: when the view was last confirmed by a leader.
-      nodes: nodes that take callers, as the leader tells.
-      nodes_version: term and number of that list.
-      known_nodes: all nodes that registered.
+      view: groups and servers that accept requests.
+      view_time: when a leader last confirmed the view.
+      nodes: nodes that accept callers, as announced by the leader.
+      nodes_version: term and sequence number of that list.
+      known_nodes: all registered nodes by name.
       is_stopping: whether the node is about to stop.
-      has_traffic: whether a request of a caller came to any node.
-      usual_limits: time limits of the callers of each route.
-      first_events: how long the first event of each model takes.
-      shortages: models whose requests find no place here.
-      watches: progress of the streams of this node at each group.
-      suspects: requests under which servers have ended.
-      limits: limits that servers name.
+      has_traffic: whether any node has received a request of a caller.
+      usual_limits: usual time limits of the callers of each route.
+      first_events: time to the first event of each model.
+      shortages: models whose requests find no free slot at this node.
+      watches: stall detectors of this node's streams, by group.
+      suspects: requests during which servers crashed.
+      limits: rate limits that servers state in their answers.
     """
 
     def __init__(
@@ -80,7 +86,13 @@
         bounds: RepeatBounds,
         generator: random.Random,
     ) -> None:
-        """Know nothing but this node."""
+        """Create a state that contains only this node.
+
+        Args:
+          own: this node.
+          bounds: limits on retries.
+          generator: draws candidate endpoints and shares of slots.
+        """
         self.own = own
         self.routes: RouteTable | None = None
         self.view: ServingView = NO_VIEW
@@ -95,9 +107,9 @@
         self._budgets: dict[str, RepeatBudget] = {}
         self._own_loads: dict[str, int] = {}
         self._other_loads: Mapping[str, int] = {}
-        self._doubts: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
         self._failures = Failures()
-        self._failing: dict[str, float] = {}
+        self._failing_until: dict[str, float] = {}
         self._active_nodes = ActiveNodes()
         self._shares = SlotShares(generator=generator)
         self.usual_limits = UsualLimits()
@@ -114,13 +126,13 @@
         return -1 if routes is None else routes.configuration.revision
 
     def use_view(self, view: ServingView, now: float) -> None:
-        """Use another view from now on."""
+        """Replace the view; drop failures and limits of absent endpoints."""
         self.view = view
         self.view_time = now
-        self._forget_failures(frozenset(one.group for one in view.groups))
+        self._forget_failures(frozenset(group.group for group in view.groups))
         self.limits.take_told(view.limits, now)
-        heads = [one.server for one in view.groups]
-        heads += [one.server for one in view.servers]
+        heads = [group.server for group in view.groups]
+        heads += [server.server for server in view.servers]
         self.limits.forget_gone(heads, now)
         emit(
             Event.VIEW_IN_FORCE,
@@ -131,20 +143,20 @@
         )
 
     def _forget_failures(self, groups: frozenset[str]) -> None:
-        """Forget the failures of groups that are gone."""
+        """Drop the failures of all groups except these."""
         self._failures.keep_only(groups)
-        for group in set(self._failing) - groups:
-            del self._failing[group]
+        for group in set(self._failing_until) - groups:
+            del self._failing_until[group]
 
     def find_engine(self, service: str) -> EngineProfile | None:
-        """Return how the engines of a service work, None for a plain one."""
+        """Return the engine profile of a service, None for a plain one."""
         if self.routes is None:
             return None
-        known = self.routes.configuration.services.get(service)
-        return None if known is None else known.engine
+        entry = self.routes.configuration.services.get(service)
+        return None if entry is None else entry.engine
 
     def budget(self, service: str) -> RepeatBudget:
-        """Return the budget of repeats of a service."""
+        """Return the retry budget of a service, created at first use."""
         if service not in self._budgets:
             self._budgets[service] = RepeatBudget(
                 ratio=self._bounds.ratio,
@@ -154,7 +166,7 @@
         return self._budgets[service]
 
     def refill_budgets(self, *, is_in_touch: bool, now: float) -> None:
-        """Earn this node's share of what all nodes may send again.
+        """Refill this node's share of the retry budgets of all services.
 
         Args:
           is_in_touch: whether the list of nodes is known to be current.
@@ -167,14 +179,14 @@
             self.budget(service).refill(nodes, now)
 
     def describe_budgets(self) -> Mapping[str, BudgetState]:
-        """Return the repeats that are left, by service."""
+        """Return the state of the retry budgets by service."""
         return {
             service: budget.describe()
             for service, budget in self._budgets.items()
         }
 
     def count_nodes(self) -> int:
-        """Return the greatest number of nodes that may take callers."""
+        """Return the greatest possible number of nodes with callers."""
         return max(len(self.known_nodes), len(self.nodes), 1)
 
     def choose_group(
@@ -185,12 +197,12 @@
         bound: Bound,
         now: float,
     ) -> Choice[GroupEndpoint] | None:
-        """Return the best group with room for a request.
+        """Return the best group with a free slot for a request.
 
         Args:
           service: service of the route.
-          model: model that is asked for.
-          avoided: servers that must not get it.
+          model: requested model.
+          avoided: servers that must not get the request.
           bound: how full a group may be.
           now: present time.
         """
@@ -198,11 +210,11 @@
         slots = 1 if engine is None else engine.slots
         groups = leave_out(
             self._list_permitted(self.list_groups(service, model), now),
-            lambda one: self.is_failing(one.group, now),
+            lambda group: self.is_failing(group.group, now),
         )
         return placement.choose(
             groups,
-            lambda one: self._find_group_load(one, slots, now),
+            lambda group: self._find_group_load(group, slots, now),
             data_centre=self.own.data_centre,
             avoided=avoided,
             bound=bound,
@@ -212,10 +224,12 @@
     def choose_server(
         self, service: str, avoided: frozenset[str], now: float
     ) -> Choice[ServerEndpoint] | None:
-        """Return the best server of a plain service with room."""
+        """Return the best server of a plain service with a free slot."""
         return placement.choose(
             self._list_permitted(self.list_servers(service), now),
-            lambda one: self._find_load(one.server, one.server, one.slots, now),
+            lambda server: self._find_load(
+                server.server, server.server, server.slots, now
+            ),
             data_centre=self.own.data_centre,
             avoided=avoided,
             bound=placement.SERVER_BOUND,
@@ -225,57 +239,62 @@
     def _list_permitted(
         self, endpoints: list[Endpoint], now: float
     ) -> list[Endpoint]:
-        """Return the endpoints to which this node may send a request now."""
+        """Return the endpoints whose rate limits allow a request now."""
         if not self.limits:
             return endpoints
         return [
-            one for one in endpoints if self.limits.may_send(one.server, now)
+            endpoint
+            for endpoint in endpoints
+            if self.limits.may_send(endpoint.server, now)
         ]
 
     def is_forming(self, model: str) -> bool:
-        """Tell whether a group of a model may serve soon.
+        """Return whether a group of a model is expected to serve soon.
 
-        A node that has no view yet gets one within some tenths of a second.
+        True also before the first view, which arrives within some tenths of a
+        second.
         """
         return self.view is NO_VIEW or model in self.view.forming
 
     def list_groups(self, service: str, model: str) -> list[GroupEndpoint]:
         """Return the groups that serve a model."""
         return [
-            one
-            for one in self.view.groups
-            if one.service == service and one.model == model
+            group
+            for group in self.view.groups
+            if group.service == service and group.model == model
         ]
 
     def list_servers(self, service: str) -> list[ServerEndpoint]:
         """Return the servers of a plain service."""
-        return [one for one in self.view.servers if one.service == service]
+        return [
+            server for server in self.view.servers if server.service == service
+        ]
 
     def note_sent(self, server: str) -> None:
-        """Count a request that goes to an endpoint."""
+        """Record that a request of this node starts at an endpoint."""
         self._own_loads[server] = self._own_loads.get(server, 0) + 1
 
     def note_ended(self, server: str) -> None:
-        """Count a request that has left an endpoint."""
-        left = self._own_loads.get(server, 0) - 1
-        if left > 0:
-            self._own_loads[server] = left
+        """Record that a request of this node ended at an endpoint."""
+        remaining = self._own_loads.get(server, 0) - 1
+        if remaining > 0:
+            self._own_loads[server] = remaining
         else:
             self._own_loads.pop(server, None)
 
     def doubt(self, endpoint: str, now: float) -> None:
-        """Avoid a group or server, by its name, for a while."""
-        self._doubts[endpoint] = now + DOUBT_S
+        """Avoid a group or server, given by name, for `AVOIDED_S`."""
+        self._avoided_until[endpoint] = now + AVOIDED_S
 
     def note_success(self, group: str) -> None:
-        """Note that a group answered a request of this node."""
+        """Record that a group answered a request of this node."""
         self._failures.note_success(group)
-        self._failing.pop(group, None)
+        self._failing_until.pop(group, None)
 
     def note_failure(self, group: str, now: float) -> None:
-        """Avoid a group that failed a request, longer each time."""
+        """Avoid a group that failed a request, longer after each failure."""
         avoided_s = self._failures.note_failure(group)
-        self._failing[group] = now + avoided_s
+        self._failing_until[group] = now + avoided_s
         emit(
             Event.GROUP_FAILING,
             group=group,
@@ -283,31 +302,37 @@
         )
 
     def is_failing(self, group: str, now: float) -> bool:
-        """Tell whether a group is avoided since it failed requests."""
-        return self._failing.get(group, now) > now
+        """Return whether a group is avoided because it failed requests."""
+        return self._failing_until.get(group, now) > now
 
     def list_failing(self, now: float) -> tuple[str, ...]:
-        """Return the groups that are avoided since they failed requests."""
-        return tuple(one for one in self._failing if self.is_failing(one, now))
+        """Return the groups that are avoided because they failed requests."""
+        return tuple(
+            group
+            for group in self._failing_until
+            if self.is_failing(group, now)
+        )
 
     def is_doubted(self, endpoint: str, now: float) -> bool:
-        """Tell whether a group or server is avoided now."""
-        return self._doubts.get(endpoint, now) > now
+        """Return whether a group or server is avoided after `avoid`."""
+        return self._avoided_until.get(endpoint, now) > now
 
     def list_doubted(self, now: float) -> tuple[str, ...]:
-        """Return the groups and servers that are avoided now."""
-        for name in [one for one, end in self._doubts.items() if end <= now]:
-            del self._doubts[name]
-        return tuple(self._doubts)
+        """Return the groups and servers that are avoided after `avoid`."""
+        for name in [
+            name for name, end in self._avoided_until.items() if end <= now
+        ]:
+            del self._avoided_until[name]
+        return tuple(self._avoided_until)
 
     def count_requests(self, server: str) -> int:
-        """Return the requests of all nodes at a head or server."""
+        """Return the number of requests of all nodes at a head or server."""
         own = self._own_loads.get(server, 0)
         return own + self._other_loads.get(server, 0)
 
     @property
     def own_loads(self) -> Mapping[str, int]:
-        """Requests of this node at each endpoint."""
+        """Number of requests of this node at each endpoint."""
         return self._own_loads
 
     def take_loads(
@@ -318,12 +343,12 @@
         senders: int,
         now: float,
     ) -> None:
-        """Take the requests of all nodes at each endpoint.
+        """Apply the number of requests of all nodes at each endpoint.
 
         Args:
           total: the requests.
-          own: those of this node that are counted in them.
-          senders: nodes whose requests are counted in them.
+          own: requests of this node that `total` includes.
+          senders: number of nodes whose requests `total` includes.
           now: present time.
         """
         self._shares.note_sums(total, own, senders, now)
@@ -333,8 +358,8 @@
         }
 
     def note_limit(self, server: str, limit: StatedLimit, now: float) -> None:
-        """Take what an answer of a server says of its limit."""
-        names = (one.node for one in self.nodes)
+        """Record the rate limit that an answer of a server states."""
+        names = (node.node for node in self.nodes)
         change = self.limits.note_answer(server, limit, names, now)
         if change is LimitChange.NAMED:
             emit(Event.LIMIT_NAMED, server=server, rate=limit.rate)
@@ -344,11 +369,11 @@
             emit(Event.LIMIT_UNREADABLE, server=server, value=limit.unreadable)
 
     def watch(self, group: str) -> GroupWatch:
-        """Return the watch over the streams of a group."""
+        """Return the stall detector of a group, created at first use."""
         return self.watches.setdefault(group, GroupWatch())
 
     def count_running(self) -> int:
-        """Return the requests of all nodes at all endpoints."""
+        """Return the number of requests of all nodes at all endpoints."""
         own = sum(self._own_loads.values())
         return own + sum(self._other_loads.values())
 
@@ -357,18 +382,18 @@
     ) -> Iterable[str]:
         """Return the addresses that callers should use.
 
-        A node without a configuration that knows no other node, as one that
-        the store turns away after all nodes were lost, names none: callers
-        then ask another node, where they would be refused here.
+        The result is empty on a node that has no configuration and knows no
+        other node, such as one that the store rejects after all nodes were
+        lost. Callers then turn to another node instead of being rejected here.
 
         Args:
-          data_centre: where the caller stands.
-          leader: name of the node that leads, None while it is not heard.
+          data_centre: data centre of the caller.
+          leader: name of the leader, None without contact to it.
           now: present time.
         """
         nodes = self.nodes or tuple(self.known_nodes.values())
         if self.is_stopping:
-            nodes = tuple(one for one in nodes if one.node != self.own.node)
+            nodes = tuple(node for node in nodes if node.node != self.own.node)
         elif not nodes and self.routes is not None:
             nodes = (self.own,)
         chosen = self._active_nodes.choose(
@@ -378,19 +403,19 @@
             running=self.count_running(),
             now=now,
         )
-        return sorted({one.callers_address for one in chosen})
+        return sorted({node.callers_address for node in chosen})
 
     def list_active_nodes(self, leader: str, now: float) -> list[str]:
-        """Return the names of the nodes that callers are told to use.
+        """Return the names of the nodes that are reported to callers.
 
         Args:
-          leader: name of the node that leads.
+          leader: name of the leader.
           now: present time.
         """
         active = {
-            one.node
+            active_node.node
             for data_centre in {node.data_centre for node in self.nodes}
-            for one in self._active_nodes.choose(
+            for active_node in self._active_nodes.choose(
                 self.nodes,
                 data_centre=data_centre,
                 leader=leader,
@@ -403,7 +428,7 @@
     def _find_group_load(
         self, group: GroupEndpoint, slots: int, now: float
     ) -> Load:
-        """Return the requests at a group, and how many this node may have."""
+        """Return the load of a group with this node's limit on it."""
         load = self._find_load(group.server, group.group, slots, now)
         limit = self._shares.find_limit(group.server, slots, now)
         return load._replace(own_limit=limit)
--- a/test/tasks/test_serving_peers.py
+++ b/test/tasks/test_serving_peers.py
@@ -1,4 +1,4 @@
-"""How often a leader speaks to the nodes that run requests and to others."""
+"""Intervals of a leader's announcements to busy and to idle nodes."""
 
 from collections.abc import Awaitable, Generator
 
@@ -18,7 +18,7 @@
 NODES = 40
 BUSY = 8
 STEP_S = 0.01
-PLAY_S = 3.0
+RUN_S = 3.0
 
 
 def make_node(number: int) -> NodeEntry:
@@ -59,29 +59,31 @@
     )
 
 
-class Circle:
-    """A leader and nodes that answer each announcement at once.
+class SimulatedNodes:
+    """A leader, and nodes that answer each announcement immediately.
 
     Attributes:
-      sent: times at which each node was spoken to.
-      revision: newest revision that the leader knows.
+      sent: times of the announcements to each node.
+      revision: newest revision of the leader.
     """
 
     def __init__(self) -> None:
         self.nodes = [make_node(number) for number in range(NODES)]
-        self.sent: dict[str, list[float]] = {one.node: [] for one in self.nodes}
+        self.sent: dict[str, list[float]] = {
+            node.node: [] for node in self.nodes
+        }
         self.revision = 1
         self._now = 0.0
         self._peers = Peers(send=self._send)
         self._peers.sync(self.nodes, 0.0)
-        self._spoken: list[NodeEntry] = []
+        self._announced: list[NodeEntry] = []
 
-    def play(self, until: float) -> None:
-        """Let the leader speak when it is time to."""
+    def run(self, until: float) -> None:
+        """Let the leader send its announcements until a time."""
         interval_s = find_interval(NODES)
         while self._now < until:
             self._now = round(self._now + STEP_S, 6)
-            news = News(
+            update = News(
                 base=make_announcement(self.revision),
                 view=NO_VIEW,
                 nodes=(),
@@ -90,23 +92,23 @@
                 busy_pause_s=find_pause(self._peers.count_busy(frozenset())),
                 idle_pause_s=find_pause(NODES),
             )
-            self._peers.announce(news, self._now)
-            for node in self._spoken:
+            self._peers.announce(update, self._now)
+            for node in self._announced:
                 answer = make_answer(node, is_busy=node in self.nodes[:BUSY])
                 self._peers.take(
                     node.incarnation, answer, interval_s, self._now
                 )
-            self._spoken.clear()
+            self._announced.clear()
 
     def _send(self, entry: NodeEntry, body: bytes) -> Awaitable[None]:
         del body
         self.sent[entry.node].append(self._now)
-        self._spoken.append(entry)
-        return _Ended()
+        self._announced.append(entry)
+        return _Completed()
 
 
-class _Ended(Awaitable[None]):
-    """A send that nobody waits for."""
+class _Completed(Awaitable[None]):
+    """The result of a call that has completed."""
 
     def __await__(self) -> Generator[None, None, None]:
         return
@@ -114,27 +116,27 @@
 
 
 @pytest.fixture
-def circle() -> Circle:
-    return Circle()
+def simulation() -> SimulatedNodes:
+    return SimulatedNodes()
 
 
-def test_nodes_that_run_requests_hear_the_loads_twice_as_often(circle):
-    circle.play(PLAY_S)
-    counts = [len(circle.sent[one.node]) for one in circle.nodes]
-    assert_that(min(counts[:BUSY]), GreaterThan(PLAY_S / 0.15))
-    assert_that(max(counts[BUSY:]), LessThan(PLAY_S / 0.2))
-    assert_that(min(counts[BUSY:]), GreaterThan(PLAY_S / 0.3))
+def test_busy_nodes_get_announcements_twice_as_often_as_idle_ones(simulation):
+    simulation.run(RUN_S)
+    counts = [len(simulation.sent[node.node]) for node in simulation.nodes]
+    assert_that(min(counts[:BUSY]), GreaterThan(RUN_S / 0.15))
+    assert_that(max(counts[BUSY:]), LessThan(RUN_S / 0.2))
+    assert_that(min(counts[BUSY:]), GreaterThan(RUN_S / 0.3))
 
 
-def test_a_new_revision_is_told_to_all_at_once_and_once(circle):
-    circle.play(PLAY_S)
-    before = {name: len(times) for name, times in circle.sent.items()}
-    circle.revision = 2
-    circle.play(PLAY_S + STEP_S)
-    told = {name: len(times) for name, times in circle.sent.items()}
+def test_a_new_revision_is_announced_once_and_immediately_to_all(simulation):
+    simulation.run(RUN_S)
+    before = {name: len(times) for name, times in simulation.sent.items()}
+    simulation.revision = 2
+    simulation.run(RUN_S + STEP_S)
+    after = {name: len(times) for name, times in simulation.sent.items()}
     assert_that(
-        told, Equals({name: count + 1 for name, count in before.items()})
+        after, Equals({name: count + 1 for name, count in before.items()})
     )
-    circle.play(PLAY_S + 2 * STEP_S)
-    again = sum(len(times) for times in circle.sent.values())
-    assert_that(again, Equals(sum(told.values())))
+    simulation.run(RUN_S + 2 * STEP_S)
+    again = sum(len(times) for times in simulation.sent.values())
+    assert_that(again, Equals(sum(after.values())))
--- a/test/tasks/test_serving_state.py
+++ b/test/tasks/test_serving_state.py
@@ -1,4 +1,4 @@
-"""What a node tells callers while it knows little."""
+"""Addresses that a node without configuration or other nodes reports."""
 
 import random
 
@@ -33,20 +33,20 @@
     return list(state.list_callers_addresses("a", None, 0.0))
 
 
-def test_a_node_that_can_serve_nobody_names_only_others(state) -> None:
-    # One that the store turns away after all nodes were lost knows nobody, and
-    # told callers to come to itself, where they were refused.
+def test_a_node_without_configuration_lists_only_other_nodes(state) -> None:
+    # A node that the store rejects after all nodes were lost has no list of
+    # nodes. It reported its own address, where callers were rejected.
     assert_that(list_addresses(state), HasLength(0))
     state.known_nodes = {OTHER.node: OTHER}
     assert_that(list_addresses(state), Equals([OTHER.callers_address]))
 
 
-def test_a_node_that_is_alone_names_itself(state) -> None:
+def test_a_single_node_with_a_configuration_lists_itself(state) -> None:
     state.routes = make_routes()
     assert_that(list_addresses(state), Equals([OWN.callers_address]))
 
 
-def test_a_node_that_stops_names_only_others(state) -> None:
+def test_a_stopping_node_lists_only_other_nodes(state) -> None:
     state.routes = make_routes()
     state.is_stopping = True
     state.nodes = (OWN, OTHER)
