--- a/test/tasks/stale_loads.py
+++ b/test/tasks/stale_loads.py
@@ -1,8 +1,8 @@
-"""A large fleet in which nodes place requests by news of some age.
+"""Simulation of a large fleet whose nodes place requests by stale loads.
 
-Load pattern: requests come at random times to nodes drawn at random among
-those that callers are told of, and each stays in its group for a second or so.
-All nodes hear the sums of the leader at a fixed pause, an answer or two old.
+Load pattern: requests arrive at random times at random nodes among those
+reported to callers, and each occupies its group for about a second. All nodes
+receive the leader's totals at a fixed interval, one or two answers old.
 """
 
 import heapq
@@ -61,19 +61,19 @@
 
 
 class Load(NamedTuple):
-    """What comes, and how nodes hear of it.
+    """Load of the fleet and age of the announced totals.
 
     Attributes:
-      places: data centres.
-      nodes: nodes of each.
-      groups: groups of the model over all of them.
-      per_s: requests a second.
+      data_centres: number of data centres.
+      nodes: nodes of each data centre.
+      groups: groups of the model in all data centres.
+      per_s: requests per second.
       mean_s: mean time of a request in its group.
       pause_s: time between two announcements.
-      lag: answers that the leader's sums are old.
+      lag: age of the leader's totals in answers.
     """
 
-    places: int = 5
+    data_centres: int = 5
     nodes: int = 39
     groups: int = 50
     per_s: float = 340.0
@@ -83,45 +83,45 @@
 
 
 class Outcome(NamedTuple):
-    """What became of the requests.
+    """Outcome of the requests.
 
     Attributes:
-      overfull: part of them that was sent to a group without a free slot.
+      overfull: fraction that was sent to a group without a free slot.
       fullest: greatest number of requests at a group.
-      batch: mean number of requests at the group that gets one.
-      held: part of them that waited at their node, as its share of the free
+      batch: mean number of requests at a group when a request is added.
+      waited: fraction that waited at the node, as the node's share of the free
         slots was used up.
     """
 
     overfull: float
     fullest: int
     batch: float
-    held: float
+    waited: float
 
 
 def make_fleet(load: Load) -> list[NodeEntry]:
-    """Return the nodes; three of each data centre are strong."""
+    """Return the nodes; three of each data centre have more cores."""
     return [
         NodeEntry(
-            node=f"p{place}-{number:02}",
-            incarnation=f"i{place}-{number:02}",
-            peer_address=f"10.{place}.0.{number}:1",
-            callers_address=f"10.{place}.0.{number}:2",
-            data_centre=f"p{place}",
+            node=f"p{centre}-{number:02}",
+            incarnation=f"i{centre}-{number:02}",
+            peer_address=f"10.{centre}.0.{number}:1",
+            callers_address=f"10.{centre}.0.{number}:2",
+            data_centre=f"p{centre}",
             cores=2.15 if number < 3 else 0.516,
         )
-        for place in range(load.places)
+        for centre in range(load.data_centres)
         for number in range(load.nodes)
     ]
 
 
-def choose_few(fleet: list[NodeEntry], load: Load) -> list[NodeEntry]:
-    """Return the nodes that callers of all data centres are told of."""
+def choose_active_nodes(fleet: list[NodeEntry], load: Load) -> list[NodeEntry]:
+    """Return the nodes that are reported to callers of all data centres."""
     chosen: list[NodeEntry] = []
-    for place in range(load.places):
+    for centre in range(load.data_centres):
         chosen += ActiveNodes().choose(
             fleet,
-            data_centre=f"p{place}",
+            data_centre=f"p{centre}",
             leader=fleet[0].node,
             running=round(load.per_s * load.mean_s),
             now=0.0,
@@ -130,58 +130,58 @@
 
 
 class Replay:
-    """Nodes that take callers, and what runs in the groups."""
+    """Simulation of nodes that accept callers, and of the load of groups."""
 
     def __init__(self, *, load: Load, nodes: list[NodeEntry]) -> None:
         self._load = load
         self._generator = random.Random(7)
         view = ServingView(TERM, 1, _make_groups(load), ())
-        self._states = [self._make_state(one, view) for one in nodes]
-        self._told = [ToldLoads() for _ in nodes]
-        self._running = {one.server: 0 for one in view.groups}
-        self._held: list[int] = []
+        self._states = [self._make_state(node, view) for node in nodes]
+        self._reported = [ToldLoads() for _ in nodes]
+        self._running = {group.server: 0 for group in view.groups}
+        self._waiting: list[int] = []
         self._ends: list[tuple[float, str, int]] = []
-        self._sums: list[dict[str, int]] = [{}] * load.lag
+        self._totals: list[dict[str, int]] = [{}] * load.lag
 
     def run(self, seconds: float, *, counts_sent: bool = True) -> Outcome:
-        """Play a time and return what became of the second half.
+        """Simulate some time and return the outcome of its second half.
 
         Args:
-          seconds: length.
-          counts_sent: whether a node counts what it sent since its last
-            answers, which the sums do not have.
+          seconds: simulated time.
+          counts_sent: whether a node adds the requests that it sent since the
+            answers on which the totals are based.
         """
-        now = news = 0.0
-        asked = overfull = fullest = batch = held = 0
+        now = next_announcement = 0.0
+        sent = overfull = fullest = batch = waited = 0
         while now < seconds:
             now += self._generator.expovariate(self._load.per_s)
-            if now >= news:
-                news += self._load.pause_s
-                self._tell(now, counts_sent=counts_sent)
-            self._end(now)
-            placed = self._retry(now)
+            if now >= next_announcement:
+                next_announcement += self._load.pause_s
+                self._announce(now, counts_sent=counts_sent)
+            self._finish_requests(now)
+            placed = self._send_waiting(now)
             number = self._generator.randrange(len(self._states))
             running = self._place(number, now, GROUP_BOUND)
             if running is None:
-                self._held.append(number)
+                self._waiting.append(number)
             else:
                 placed.append(running)
             if now > seconds / 2:
-                asked += len(placed)
-                held += running is None
-                overfull += sum(one > SLOTS for one in placed)
+                sent += len(placed)
+                waited += running is None
+                overfull += sum(requests > SLOTS for requests in placed)
                 fullest = max(fullest, *placed, 0)
                 batch += sum(placed)
-        return Outcome(overfull / asked, fullest, batch / asked, held / asked)
+        return Outcome(overfull / sent, fullest, batch / sent, waited / sent)
 
-    def _retry(self, now: float) -> list[int]:
-        """Send the requests that waited, in their order, as far as they fit."""
+    def _send_waiting(self, now: float) -> list[int]:
+        """Send the waiting requests that find a slot, in their order."""
         placed = []
-        waiting, self._held = self._held, []
+        waiting, self._waiting = self._waiting, []
         for number in waiting:
             running = self._place(number, now, WAITING_BOUND)
             if running is None:
-                self._held.append(number)
+                self._waiting.append(number)
             else:
                 placed.append(running)
         return placed
@@ -196,22 +196,22 @@
         state.routes = _ROUTES
         return state
 
-    def _tell(self, now: float, *, counts_sent: bool) -> None:
-        """Let the leader add up and tell all nodes."""
+    def _announce(self, now: float, *, counts_sent: bool) -> None:
+        """Compute the leader's totals and announce them to all nodes."""
         lag = self._load.lag
-        for state, told in zip(self._states, self._told, strict=True):
+        for state, reported in zip(self._states, self._reported, strict=True):
             own = state.own_loads
             if counts_sent:
-                own = told.find_counted(TERM, lag)
+                own = reported.find_counted(TERM, lag)
             state.take_loads(
-                self._sums[0], own, senders=len(self._states), now=now
+                self._totals[0], own, senders=len(self._states), now=now
             )
-            told.note(TERM, state.own_loads)
+            reported.note(TERM, state.own_loads)
         total: dict[str, int] = {}
         for state in self._states:
             for server, count in state.own_loads.items():
                 total[server] = total.get(server, 0) + count
-        self._sums = [*self._sums[1:], total]
+        self._totals = [*self._totals[1:], total]
 
     def _place(self, number: int, now: float, bound: Bound) -> int | None:
         """Send a request of a node; return how many then run in its group."""
@@ -226,7 +226,7 @@
         heapq.heappush(self._ends, (now + length_s, server, number))
         return self._running[server]
 
-    def _end(self, now: float) -> None:
+    def _finish_requests(self, now: float) -> None:
         while self._ends and self._ends[0][0] <= now:
             _, server, number = heapq.heappop(self._ends)
             self._running[server] -= 1
@@ -242,7 +242,7 @@
             service=SERVICE,
             server=f"s{number}",
             address=f"10.9.0.{number}:1",
-            data_centre=f"p{number % load.places}",
+            data_centre=f"p{number % load.data_centres}",
         )
         for number in range(load.groups)
     )
--- a/test/tasks/test_stale_loads.py
+++ b/test/tasks/test_stale_loads.py
@@ -1,4 +1,4 @@
-"""Placing at a large fleet by news of some age, against the former ways."""
+"""Placement by stale loads in a large fleet, compared to simpler methods."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -6,75 +6,77 @@
 
 from chervilrock.decisions.serving import placement
 from chervilrock.decisions.serving.shares import NO_LIMIT, SlotShares
-from test.tasks.stale_loads import choose_few, Load, make_fleet, Replay
+from test.tasks.stale_loads import choose_active_nodes, Load, make_fleet, Replay
 
-PLAY_S = 20.0
+RUN_S = 20.0
 
-AIM = 0.01
-"""Part of the requests that may find their group full: under one in 100 sends
-is to come back unrun."""
+MAX_OVERFULL = 0.01
+"""Allowed fraction of requests that find their group full: groups are to reject
+fewer than one of 100 requests."""
 
-NEWS = Load(pause_s=0.15, lag=2)
-"""A relay passes the news on, so that they are two answers old."""
+RELAYED_LOAD = Load(pause_s=0.15, lag=2)
+"""Load with totals that are two answers old, as behind a relay."""
 
 
-def replay(load: Load, *, is_few: bool = True, counts_sent: bool = True):
+def replay(
+    load: Load, *, is_active_only: bool = True, counts_sent: bool = True
+):
     fleet = make_fleet(load)
-    nodes = choose_few(fleet, load) if is_few else fleet
-    return Replay(load=load, nodes=nodes).run(PLAY_S, counts_sent=counts_sent)
+    nodes = choose_active_nodes(fleet, load) if is_active_only else fleet
+    return Replay(load=load, nodes=nodes).run(RUN_S, counts_sent=counts_sent)
 
 
-def test_few_nodes_with_fresh_news_seldom_fill_a_group_up() -> None:
-    outcome = replay(NEWS)
-    assert_that(outcome.overfull, LessThan(AIM))
-    assert_that(outcome.held, LessThan(AIM))
+def test_active_nodes_with_recent_loads_rarely_overfill_a_group() -> None:
+    outcome = replay(RELAYED_LOAD)
+    assert_that(outcome.overfull, LessThan(MAX_OVERFULL))
+    assert_that(outcome.waited, LessThan(MAX_OVERFULL))
 
 
 @pytest.fixture
 def without_shares(monkeypatch) -> None:
-    """Nodes that keep to no share of the free slots."""
+    """Remove the limits of nodes to their shares of the free slots."""
     monkeypatch.setattr(SlotShares, "find_limit", lambda *_: NO_LIMIT)
 
 
-def test_nodes_without_shares_fill_groups_up(without_shares) -> None:
-    assert_that(replay(NEWS).overfull, GreaterThan(AIM))
+def test_nodes_without_shares_overfill_groups(without_shares) -> None:
+    assert_that(replay(RELAYED_LOAD).overfull, GreaterThan(MAX_OVERFULL))
 
 
-def test_requests_spread_over_all_nodes_fill_groups_up(
+def test_requests_spread_over_all_nodes_overfill_groups(
     without_shares,
 ) -> None:
-    everywhere = replay(NEWS, is_few=False)
-    assert_that(everywhere.overfull, GreaterThan(AIM))
+    all_nodes = replay(RELAYED_LOAD, is_active_only=False)
+    assert_that(all_nodes.overfull, GreaterThan(MAX_OVERFULL))
 
 
-def test_news_as_seldom_as_to_each_of_all_nodes_fill_groups_up(
+def test_announcements_at_the_interval_of_all_nodes_overfill_groups(
     without_shares,
 ) -> None:
-    seldom = replay(NEWS._replace(pause_s=0.25))
-    assert_that(seldom.overfull, GreaterThan(AIM))
+    infrequent = replay(RELAYED_LOAD._replace(pause_s=0.25))
+    assert_that(infrequent.overfull, GreaterThan(MAX_OVERFULL))
 
 
-def test_nodes_that_forget_what_they_just_sent_fill_groups_up(
+def test_nodes_that_ignore_their_latest_requests_overfill_groups(
     without_shares,
 ) -> None:
-    forgetful = replay(NEWS, counts_sent=False)
-    assert_that(forgetful.overfull, GreaterThan(AIM))
+    outcome = replay(RELAYED_LOAD, counts_sent=False)
+    assert_that(outcome.overfull, GreaterThan(MAX_OVERFULL))
 
 
 @pytest.mark.parametrize(
     "load",
     [
-        pytest.param(NEWS, id="large"),
+        pytest.param(RELAYED_LOAD, id="large"),
         pytest.param(
             Load(3, 3, 12, per_s=104.0, mean_s=0.8, pause_s=0.15, lag=1),
             id="small",
         ),
     ],
 )
-def test_comparing_many_groups_by_old_news_fills_some_up(
+def test_comparing_many_groups_by_stale_loads_overfills_some(
     monkeypatch, load
 ) -> None:
-    assert_that(replay(load).overfull, LessThan(AIM))
+    assert_that(replay(load).overfull, LessThan(MAX_OVERFULL))
     monkeypatch.setattr(SlotShares, "find_limit", lambda *_: NO_LIMIT)
     few = replay(load)
     monkeypatch.setattr(placement, "NEAR_SAMPLE", 3)
