--- a/chervilrock/tasks/serving/dependency.py
+++ b/chervilrock/tasks/serving/dependency.py
@@ -8,7 +8,7 @@
 
     Attributes:
       name: name for the log.
-      answered: time of its last answer.
+      answered_at: time of its last answer.
     """
 
     def __init__(self, *, name: str, now: float) -> None:
--- a/chervilrock/tasks/serving/messages.py
+++ b/chervilrock/tasks/serving/messages.py
@@ -33,7 +33,7 @@
     Attributes:
       topic: the topic.
       reason: reason for the log.
-      is_silent: whether the read timed out.
+      is_timeout: whether the read timed out.
     """
 
     topic: Topic
@@ -69,7 +69,7 @@
 
     Attributes:
       is_answered: whether the store answered.
-      is_overtaken: whether another record was written first, at the offset of
+      is_outdated: whether another record was written first, at the offset of
         the claim.
     """
 
@@ -112,7 +112,7 @@
     Attributes:
       incarnation: incarnation of the node.
       report: the report.
-      is_taken: whether the node answered.
+      is_accepted: whether the node answered.
     """
 
     incarnation: str
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -128,7 +128,7 @@
 
         Args:
           topic: topic to follow.
-          choose_pace: called before each read; returns the polling schedule.
+          choose_schedule: called before each read; returns the polling schedule.
         """
         follower = TopicFollower(
             store=self._ports.store,
