--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -126,9 +126,8 @@
     ) -> Following:
         """Start to follow a topic of the store.
 
-        Args:
-          topic: topic to follow.
-          choose_schedule: called before each read; returns the polling schedule.
+        The function is called before each read and returns the polling
+        schedule.
         """
         follower = TopicFollower(
             store=self._ports.store,
