--- a/chervilrock/decisions/limits/__init__.py
+++ b/chervilrock/decisions/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on the requests that a node lets through."""
+"""Limits on the requests that a node admits."""
--- a/chervilrock/decisions/limits/admission.py
+++ b/chervilrock/decisions/limits/admission.py
@@ -1,11 +1,11 @@
-"""Admission of requests at a node: the facade of all limits.
+"""Admission control of a node, the facade of all limits.
 
-Each request that is offered ends in exactly one way: admitted and later
-released, rejected, or cancelled. A rejected request was not run, and its
-caller is told at once and when to come back.
+Each offered request has exactly one outcome: admitted and later released,
+rejected, or cancelled. A rejected request has not run; its caller gets the
+rejection at once, with the delay after which to retry.
 
-The node calls `admit` and `expire` several times a second, and sends what
-`release` and `admit` return.
+The node calls `admit` and `expire` several times a second, and sends the
+requests that `release` and `admit` return.
 """
 
 from chervilrock.decisions.limits import (
@@ -17,14 +17,14 @@
 from chervilrock.decisions.routing import base
 
 NO_GROUP_RETRY_S = 2.0
-"""Delay for a caller while no group serves the model."""
+"""Retry delay for a caller while no group serves the model."""
 
 HEDGE_RESERVE = 1.0
-"""Tokens of the retry budget that hedges leave to retries."""
+"""Tokens of the retry budget that hedges leave for retries."""
 
 
 class Admission(state.LimitState):
-    """Decides which requests run now, wait, or are rejected."""
+    """Decides which requests run at once, wait, or are rejected."""
 
     def offer(self, request: base.RequestView, now: float) -> verdicts.Verdict:
         """Decide on a request that has arrived.
@@ -35,12 +35,13 @@
 
         Returns:
           Whether it runs now, waits, or is rejected. The requests in
-          `Queued.displaced` are rejected with it and need their answer now.
+          `Queued.displaced` are rejected by this call, and their callers must
+          be answered at once.
 
         Raises:
           ValueError: a request with this identity runs or waits already.
         """
-        if request.request_id in self._ledger:
+        if request.request_id in self._requests:
             raise ValueError(f"request {request.request_id} offered twice")
         pool = self._pools.get(request.model)
         if pool is None or not pool.capacity():
@@ -49,8 +50,8 @@
         if request.deadline <= now:
             return self._reject(request, verdicts.RejectCode.DEADLINE, now)
         pool.usage.note_active(request.workspace, now)
-        first = not pool.queue.count(request.workspace)
-        if first and self._may_start(pool, request.workspace):
+        is_first = not pool.queue.count(request.workspace)
+        if is_first and self._may_start(pool, request.workspace):
             cost = pool.estimate_cost(request)
             pool.charge(request, cost)
             self._start(pool, request, cost, now)
@@ -60,20 +61,20 @@
     def release(
         self, request_id: str, now: float, ok: bool, *, tokens: int = 0
     ) -> tuple[str, ...]:
-        """Take note that an admitted request has ended.
+        """Record that an admitted request has ended.
 
         A second call for the same request changes nothing.
 
         Args:
           request_id: identity of the request.
           now: present time.
-          ok: whether it got its whole answer.
-          tokens: tokens of its answer.
+          ok: whether it received its whole answer.
+          tokens: number of tokens of its answer.
 
         Returns:
-          The requests that are admitted now in its place.
+          Identities of the waiting requests that are admitted now.
         """
-        entry = self._ledger.finish(request_id)
+        entry = self._requests.finish(request_id)
         if entry is None:
             return ()
         pool = self._pools[entry.request.model]
@@ -81,7 +82,7 @@
         return self._admit_from(pool, now)
 
     def admit(self, now: float) -> tuple[str, ...]:
-        """Adapt the limits, and admit the requests that find a place."""
+        """Adapt the limits, and admit the requests that get a slot."""
         self._quota.update(self._own_uses(), now)
         admitted: list[str] = []
         for model, pool in list(self._pools.items()):
@@ -92,24 +93,24 @@
         return tuple(admitted)
 
     def expire(self, now: float) -> tuple[verdicts.Rejected, ...]:
-        """Reject the requests that have waited too long or for nothing."""
+        """Reject waiting requests that timed out or have no group left."""
         rejected: list[verdicts.Rejected] = []
         for pool in self._pools.values():
             for entry in list(pool.queue):
-                code = self._expired(pool, entry, now)
+                code = self._find_expiry_code(pool, entry, now)
                 if code is not None:
                     self.cancel(entry.request.request_id, now)
                     rejected.append(self._reject(entry.request, code, now))
         return tuple(rejected)
 
     def cancel(self, request_id: str, now: float) -> bool:
-        """Forget a request that waits, since its caller is gone.
+        """Remove a waiting request whose caller has disconnected.
 
         Returns:
-          Whether it waited; a running request has to be released instead.
+          Whether it waited; a running request must be released instead.
         """
         del now
-        request = self._ledger.leave(request_id)
+        request = self._requests.remove_waiting(request_id)
         if request is None:
             return False
         self._pools[request.model].queue.remove(request)
@@ -127,8 +128,8 @@
     ) -> frozenset[str]:
         """Return the groups to exclude from the choice for a request.
 
-        When no other group can be chosen, the request may go there all the
-        same.
+        If no other group can be chosen, the request may still go to one of
+        these.
         """
         pool = self._pools.get(request.model)
         if pool is None:
@@ -137,17 +138,17 @@
         return pool.reserved_groups(account.workspace, now)
 
     def allow_retry(self, request: base.RequestView, now: float) -> bool:
-        """Take a further attempt for a request from the retry budget.
+        """Charge the retry budget for a further attempt, if it allows one.
 
-        Whether the request may run again is for the caller to decide.
+        The caller decides whether the request is safe to run again.
         """
         del request, now
-        return self._budget.take()
+        return self._budget.consume()
 
     def hedge_delay(
         self, request: base.RequestView, now: float
     ) -> float | None:
-        """Return when to think of a hedge, in seconds after sending."""
+        """Return the delay in seconds after sending to consider a hedge."""
         del now
         pool = self._pools.get(request.model)
         if pool is None or not request.idempotent:
@@ -155,24 +156,24 @@
         return pool.hedging.delay(request.prompt_tokens)
 
     def allow_hedge(self, request: base.RequestView, now: float) -> bool:
-        """Tell whether to send a hedge now, and take it from the budget."""
+        """Return whether to send a hedge now, and charge the budget for it."""
         pool = self._pools.get(request.model)
         if pool is None or not request.idempotent:
             return False
         if self._budget.tokens < 1.0 + HEDGE_RESERVE:
             return False
-        if not pool.hedging.pays(pool.load(), now):
+        if not pool.hedging.is_worthwhile(pool.load(), now):
             return False
-        return self._budget.take(reserve=HEDGE_RESERVE)
+        return self._budget.consume(reserve=HEDGE_RESERVE)
 
     def _may_start(self, pool: pools.Pool, workspace: str) -> bool:
-        return self._is_within_quota(workspace) and pool.has_place(workspace)
+        return self._is_within_quota(workspace) and pool.has_slot(workspace)
 
     def _is_within_quota(self, workspace: str) -> bool:
         if not self._quota.is_bounded(workspace):
             return True
         allowed = self._quota.allowed(workspace)
-        return self._ledger.running_of(workspace) < allowed
+        return self._requests.running_of(workspace) < allowed
 
     def _start(
         self,
@@ -181,7 +182,7 @@
         cost: float,
         now: float,
     ) -> None:
-        self._ledger.start(request, cost)
+        self._requests.start(request, cost)
         self._budget.on_request()
         pool.usage.start(request.workspace, now)
 
@@ -194,7 +195,7 @@
             )
             if entry is None:
                 return tuple(admitted)
-            self._ledger.leave(entry.request.request_id)
+            self._requests.remove_waiting(entry.request.request_id)
             self._start(pool, entry.request, entry.cost, now)
             admitted.append(entry.request.request_id)
 
@@ -203,15 +204,15 @@
     ) -> verdicts.Verdict:
         if self._is_within_quota(request.workspace):
             pool.note_saturated(now)
-            refusal = verdicts.RejectCode.OVERLOADED
+            reject_code = verdicts.RejectCode.OVERLOADED
         else:
-            refusal = verdicts.RejectCode.WORKSPACE_LIMIT
-        longest = pool.longest_wait(self._settings.max_wait_s, now)
-        longest = min(longest, request.deadline - now)
-        if pool.expected_wait(request, now) > longest:
-            return self._reject(request, refusal, now)
+            reject_code = verdicts.RejectCode.WORKSPACE_LIMIT
+        wait_limit_s = pool.longest_wait(self._settings.max_wait_s, now)
+        wait_limit_s = min(wait_limit_s, request.deadline - now)
+        if pool.expected_wait(request, now) > wait_limit_s:
+            return self._reject(request, reject_code, now)
         displaced: tuple[verdicts.Rejected, ...] = ()
-        if self._ledger.waiting >= self._settings.max_queue:
+        if self._requests.waiting >= self._settings.max_queue:
             code = verdicts.RejectCode.QUEUE_FULL
             victim = pool.find_displaced(request)
             if victim is None:
@@ -219,18 +220,18 @@
             self.cancel(victim.request_id, now)
             displaced = (self._reject(victim, code, now),)
         pool.queue.push(request, pool.estimate_cost(request), now)
-        self._ledger.wait(request)
+        self._requests.add_waiting(request)
         return verdicts.Queued(request.request_id, len(pool.queue), displaced)
 
-    def _expired(
-        self, pool: pools.Pool, entry: fairness.Waiting, now: float
+    def _find_expiry_code(
+        self, pool: pools.Pool, entry: fairness.WaitingRequest, now: float
     ) -> verdicts.RejectCode | None:
         if not pool.capacity():
             return verdicts.RejectCode.NO_GROUP
         if entry.request.deadline <= now:
             return verdicts.RejectCode.DEADLINE
-        longest = pool.longest_wait(self._settings.max_wait_s, now)
-        if now - entry.since >= longest:
+        wait_limit_s = pool.longest_wait(self._settings.max_wait_s, now)
+        if now - entry.since >= wait_limit_s:
             return verdicts.RejectCode.QUEUE_TIMEOUT
         return None
 
@@ -244,7 +245,9 @@
         if code is verdicts.RejectCode.NO_GROUP:
             return _reject_without_group(request)
         return verdicts.Rejected(
-            request.request_id, code, pool.book(request.workspace, now)
+            request.request_id,
+            code,
+            pool.schedule_retry(request.workspace, now),
         )
 
 
--- a/chervilrock/decisions/limits/fairness.py
+++ b/chervilrock/decisions/limits/fairness.py
@@ -1,11 +1,12 @@
-"""Queue that shares places between workspaces by weight.
-
-Start-time fair queueing: each workspace has a virtual finish time that moves
-on by the cost of its requests divided by its share, and the workspace that is
-furthest behind is served next. A workspace that was idle starts at the
-present virtual time, so that it neither saves up places nor pays for having
-had the system to itself. Within a workspace the priority decides, then the
-order of arrival; a priority buys no place from another workspace.
+"""Queue that divides slots between workspaces by weight.
+
+Start-time fair queueing: each workspace has a virtual finish time that
+advances by the cost of its requests divided by its share, and the workspace
+with the earliest virtual time is served next. A workspace that was idle
+starts at the current virtual time, so that it neither accumulates credit
+while idle nor is penalized for having used an otherwise idle system. Within a
+workspace, requests are ordered by priority, then by arrival; a priority has
+no effect between workspaces.
 """
 
 import bisect
@@ -15,14 +16,14 @@
 from chervilrock.decisions.routing import base
 
 
-class Waiting(NamedTuple):
-    """A request that waits; the fields before `request` give its order.
+class WaitingRequest(NamedTuple):
+    """A waiting request; the fields before `request` give its order.
 
     Attributes:
       priority: 0 (first) to 9 (last)
       sequence: order of arrival
       request: the request
-      since: time at which it came
+      since: arrival time
       cost: estimated cost in tokens
     """
 
@@ -34,22 +35,22 @@
 
 
 class FairQueue:
-    """Requests that wait for a place, in the order of fair shares."""
+    """Requests that wait for a slot, in the order of fair shares."""
 
     def __init__(self) -> None:
-        """Make an empty queue."""
-        self._waiting: dict[str, list[Waiting]] = {}
+        """Create an empty queue."""
+        self._waiting: dict[str, list[WaitingRequest]] = {}
         self._finish: dict[str, float] = {}
         self._virtual_time = 0.0
         self._sequence = 0
         self._length = 0
 
     def __len__(self) -> int:
-        """Return the number of requests that wait."""
+        """Return the number of waiting requests."""
         return self._length
 
-    def __iter__(self) -> Iterator[Waiting]:
-        """Go through all requests that wait, in no set order."""
+    def __iter__(self) -> Iterator[WaitingRequest]:
+        """Iterate over all waiting requests in arbitrary order."""
         for queue in self._waiting.values():
             yield from queue
 
@@ -58,18 +59,18 @@
         return len(self._waiting.get(workspace, ()))
 
     def count_before(self, workspace: str, priority: int) -> int:
-        """Return how many requests of a workspace go before a new one."""
+        """Return how many requests of a workspace precede a new one."""
         queue = self._waiting.get(workspace, [])
         return sum(1 for entry in queue if entry.priority <= priority)
 
     def workspaces(self) -> list[str]:
-        """Return the workspaces with requests that wait."""
+        """Return the workspaces with waiting requests."""
         return list(self._waiting)
 
     def push(self, request: base.RequestView, cost: float, now: float) -> None:
         """Add a request."""
         self._sequence += 1
-        entry = Waiting(
+        entry = WaitingRequest(
             priority=request.priority,
             sequence=self._sequence,
             request=request,
@@ -84,63 +85,63 @@
         self,
         share_of: Callable[[str], float],
         may_run: Callable[[str], bool],
-    ) -> Waiting | None:
-        """Take the request that is next, and charge its workspace.
+    ) -> WaitingRequest | None:
+        """Remove and return the next request, and charge its workspace.
 
         Args:
-          share_of: gives the weight of a workspace.
-          may_run: tells whether a workspace may get a place now.
+          share_of: returns the weight of a workspace.
+          may_run: returns whether a workspace may get a slot now.
 
         Returns:
-          The request, or None when no workspace that may run waits.
+          The request, or None if no workspace with waiting requests may run.
         """
         eligible = [name for name in self._waiting if may_run(name)]
         if not eligible:
             return None
         workspace = min(eligible, key=self._start_time)
         entry = self._waiting[workspace][0]
-        self._drop(workspace, 0)
+        self._remove_at(workspace, 0)
         self.charge(workspace, entry.cost, share_of(workspace))
         return entry
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
-        """Move a workspace on by a request that gets a place."""
+        """Advance the virtual time of a workspace by a request that starts."""
         start = self._start_time(workspace)
         self._virtual_time = max(self._virtual_time, start)
         self._finish[workspace] = start + cost / share
 
     def correct(self, workspace: str, difference: float, share: float) -> None:
-        """Correct an earlier charge by what a request really cost.
+        """Correct an earlier charge to the actual cost of a request.
 
         Args:
           workspace: workspace of the request.
-          difference: real cost less the estimate, in tokens.
+          difference: actual cost minus the estimate, in tokens.
           share: weight of the workspace.
         """
         if workspace in self._finish:
             self._finish[workspace] += difference / share
 
-    def remove(self, request: base.RequestView) -> Waiting | None:
-        """Take a request out, or return None when it does not wait."""
+    def remove(self, request: base.RequestView) -> WaitingRequest | None:
+        """Remove a request, or return None if it does not wait."""
         queue = self._waiting.get(request.workspace, [])
         for index, entry in enumerate(queue):
             if entry.request.request_id == request.request_id:
-                self._drop(request.workspace, index)
+                self._remove_at(request.workspace, index)
                 return entry
         return None
 
     def find_displaced(
         self, request: base.RequestView, share_of: Callable[[str], float]
     ) -> base.RequestView | None:
-        """Return the request that loses its place in a full queue.
+        """Return the request to displace from a full queue.
 
-        It is the last one of the workspace with the longest queue for its
-        weight, or one of the same workspace with a lower priority, or None
-        when the new request has the least right to a place.
+        It is the last request of the workspace with the longest queue
+        relative to its weight, or a request of the same workspace with a
+        lower priority, or None if the new request itself ranks last.
 
         Args:
           request: the new request.
-          share_of: gives the weight of a workspace.
+          share_of: returns the weight of a workspace.
         """
         own = request.workspace
         lengths = {
@@ -161,7 +162,7 @@
     def _start_time(self, workspace: str) -> float:
         return max(self._virtual_time, self._finish.get(workspace, 0.0))
 
-    def _drop(self, workspace: str, index: int) -> None:
+    def _remove_at(self, workspace: str, index: int) -> None:
         queue = self._waiting[workspace]
         del queue[index]
         self._length -= 1
@@ -169,5 +170,5 @@
             del self._waiting[workspace]
 
 
-def _order_key(entry: Waiting) -> tuple[int, int]:
+def _order_key(entry: WaitingRequest) -> tuple[int, int]:
     return entry.priority, entry.sequence
--- a/chervilrock/decisions/limits/hedging.py
+++ b/chervilrock/decisions/limits/hedging.py
@@ -1,34 +1,34 @@
-"""Decision on a second attempt while the first gives no token.
+"""Hedging: a second attempt while the first has returned no token.
 
-A hedge is sent only for an idempotent request, after a time that few requests
-wait, while there is room, and only as long as hedges win often enough to be
-worth their load.
+A hedge is sent only for an idempotent request, after a delay that few
+requests exceed, while there is spare capacity, and only as long as hedges win
+often enough to justify their load.
 """
 
 QUANTILE = 0.95
-"""Share of the first tokens that come before a hedge is thought of."""
+"""Quantile of the time to the first token from which the delay follows."""
 
 FACTOR = 1.5
-"""Multiple of the quantile after which a hedge is sent."""
+"""Delay of a hedge as a multiple of the quantile."""
 
 LEARNING_RATE = 0.05
 MIN_SAMPLES = 50
-"""First tokens of a prompt length before its quantile is used."""
+"""First tokens of a prompt length needed before its quantile is used."""
 
 MIN_DELAY_S = 0.1
 MAX_LOAD = 0.75
 """Share of the limit in use above which no hedge is sent."""
 
-MIN_WINS = 0.3
-"""Share of hedges that have to win."""
+MIN_WIN_RATIO = 0.3
+"""Share of hedges that must win for hedging to continue."""
 
-WIN_MEMORY = 0.1
+WIN_SMOOTHING = 0.1
 TRIAL_INTERVAL_S = 10.0
-"""Time between trial hedges while hedges win too seldom."""
+"""Time between trial hedges while too few hedges win."""
 
 
 class _Quantile:
-    """Estimate of a quantile that moves with each sample."""
+    """Estimate of a quantile that is updated by each sample."""
 
     def __init__(self) -> None:
         self.value = 0.0
@@ -45,41 +45,41 @@
 
 
 class Hedging:
-    """Decides when a second attempt pays, for one model."""
+    """Decides when a second attempt is worthwhile, for one model."""
 
     def __init__(self) -> None:
-        """Start without any sample."""
+        """Create an estimator without samples."""
         self._quantiles: dict[int, _Quantile] = {}
         self._wins = 1.0
-        self._trial_at = float("-inf")
+        self._next_trial_at = float("-inf")
 
     @property
     def wins(self) -> float:
-        """Share of the hedges that gave the first token, lately."""
+        """Recent share of hedges that returned the first token."""
         return self._wins
 
-    def observe_first_token(self, prompt_tokens: int, waited: float) -> None:
-        """Learn the time to a first token in seconds."""
+    def observe_first_token(self, prompt_tokens: int, waited_s: float) -> None:
+        """Record the time to a first token in seconds."""
         size = prompt_tokens.bit_length()
-        self._quantiles.setdefault(size, _Quantile()).observe(waited)
+        self._quantiles.setdefault(size, _Quantile()).observe(waited_s)
 
     def observe_hedge(self, won: bool) -> None:
-        """Learn whether a hedge gave the first token."""
-        self._wins += WIN_MEMORY * ((1.0 if won else 0.0) - self._wins)
+        """Record whether a hedge returned the first token."""
+        self._wins += WIN_SMOOTHING * ((1.0 if won else 0.0) - self._wins)
 
     def delay(self, prompt_tokens: int) -> float | None:
-        """Return the time in seconds after which to think of a hedge.
+        """Return the delay in seconds after which to consider a hedge.
 
         Returns:
-          None while too little is known of prompts of this length.
+          The delay, or None while there are too few samples of this length.
         """
         quantile = self._quantiles.get(prompt_tokens.bit_length())
         if quantile is None or quantile.samples < MIN_SAMPLES:
             return None
         return max(MIN_DELAY_S, quantile.value * FACTOR)
 
-    def pays(self, load: float, now: float) -> bool:
-        """Tell whether a hedge may be sent now.
+    def is_worthwhile(self, load: float, now: float) -> bool:
+        """Return whether a hedge may be sent now.
 
         Args:
           load: share of the limit that is in use.
@@ -87,9 +87,9 @@
         """
         if load > MAX_LOAD:
             return False
-        if self._wins >= MIN_WINS:
+        if self._wins >= MIN_WIN_RATIO:
             return True
-        if now < self._trial_at:
+        if now < self._next_trial_at:
             return False
-        self._trial_at = now + TRIAL_INTERVAL_S
+        self._next_trial_at = now + TRIAL_INTERVAL_S
         return True
--- a/chervilrock/decisions/limits/pool.py
+++ b/chervilrock/decisions/limits/pool.py
@@ -1,4 +1,4 @@
-"""Places of one model at this node, and who may have them."""
+"""Slots of one model at this node, and the workspaces that may use them."""
 
 import collections
 from collections.abc import Mapping
@@ -19,26 +19,26 @@
 from chervilrock.decisions.routing import base
 
 HEADROOM = 0.15
-"""Share of the places that only workspaces within their share may take.
+"""Fraction of the slots reserved for workspaces within their share.
 
-It lets a small workspace start at once beside one that takes all it can get.
+It lets a small workspace start at once beside one that uses all other slots.
 """
 
 MIN_GROUPS_TO_RESERVE = 6
-"""With fewer groups the headroom is kept in places of all of them."""
+"""Below this number of groups, the headroom is slots of all groups."""
 
-IN_USE = 0.6
-"""Share of the limit of a group from which it may be raised.
+MIN_USE_TO_RAISE = 0.6
+"""Fraction of the limit of a group in use from which it may be raised.
 
-Requests that have no first token yet are not counted, so it is below 1.
+It is below 1 because requests without a first token are not counted yet.
 """
 
-LONG_TOKENS = 4096
-"""Length from which a prompt counts as long."""
+LONG_PROMPT_TOKENS = 4096
+"""Length in tokens from which a prompt counts as long."""
 
 PRIORITIES = 10
 MAX_RETRY_AFTER_S = 30.0
-ANSWER_MEMORY = 0.05
+ANSWER_SMOOTHING = 0.05
 INITIAL_ANSWER_TOKENS = 128.0
 
 
@@ -46,16 +46,18 @@
     """Limits, queue and measurements of one model."""
 
     def __init__(self) -> None:
-        """Start with no group."""
+        """Create a pool without groups."""
         self.queue = fairness.FairQueue()
         self.hedging = hedging.Hedging()
         self.usage = usage.Usage()
         self._saturation = saturation.Saturation()
-        self._come_back = throughput.ComeBackTimes(longest=MAX_RETRY_AFTER_S)
+        self._retry_schedule = throughput.RetrySchedule(
+            max_delay_s=MAX_RETRY_AFTER_S
+        )
         self._queueing = queueing.QueueingEstimator()
         self._limits: dict[str, concurrency.GroupLimit] = {}
         self._reserved: frozenset[str] = frozenset()
-        self._places = 0.0
+        self._slots = 0.0
         self._headroom = HEADROOM
         self._at_group: collections.Counter[str] = collections.Counter()
         self._answer_tokens = INITIAL_ANSWER_TOKENS
@@ -66,7 +68,7 @@
         return self._limits
 
     def is_unused(self) -> bool:
-        """Tell whether there is no group and no request."""
+        """Return whether there is no group and no request."""
         return not self._limits and not self.usage.total and not self.queue
 
     def set_groups(
@@ -77,7 +79,7 @@
         Args:
           groups: names of the groups.
           nodes: number of nodes that send requests.
-          maximum: requests allowed at a group from all nodes.
+          maximum: maximum requests at a group from all nodes.
         """
         limits = {}
         for group in groups:
@@ -91,18 +93,18 @@
         self._sum_limits()
 
     def capacity(self) -> int:
-        """Return how many requests may run, 0 without a group."""
+        """Return how many requests may run; 0 if there is no group."""
         if not self._limits:
             return 0
-        return max(1, int(self._places))
+        return max(1, int(self._slots))
 
     def load(self) -> float:
-        """Return the share of the places that is taken."""
+        """Return the fraction of the slots in use."""
         capacity = self.capacity()
         return self.usage.total / capacity if capacity else 1.0
 
-    def has_place(self, workspace: str) -> bool:
-        """Tell whether a request of a workspace may start now."""
+    def has_slot(self, workspace: str) -> bool:
+        """Return whether a request of a workspace may start now."""
         capacity = self.capacity()
         if self.usage.total >= capacity:
             return False
@@ -111,27 +113,27 @@
         return self.usage.total < int(capacity * (1.0 - self._headroom))
 
     def reserved_groups(self, workspace: str, now: float) -> frozenset[str]:
-        """Return the groups that requests of a workspace must leave alone.
+        """Return the groups that a workspace must not use.
 
-        While requests find no place, the headroom is kept in whole groups,
-        so that workspaces within their share meet engines that are not full.
+        While requests get no slot, the headroom consists of whole groups, so
+        that workspaces within their share find engines that are not full.
         """
-        if not self._reserved or not self._is_put_back(workspace, now):
+        if not self._reserved or not self._is_deprioritized(workspace, now):
             return frozenset()
         return self._reserved
 
     def engine_priority(self, request: base.RequestView, now: float) -> int:
-        """Return the priority that the engine is told, 0 to 9.
+        """Return the priority to send to the engine, 0 to 9.
 
         The priorities of callers are halved. Workspaces within their share
-        get the upper half, so that a priority buys nothing from others.
-        Long prompts are put back by one, to keep them from holding up short
-        ones.
+        get the upper half (0 to 4), so that a priority gains nothing over
+        other workspaces. Long prompts are lowered by one level, so that they
+        do not delay short ones.
         """
         priority = request.priority // 2
-        if request.prompt_tokens >= LONG_TOKENS:
+        if request.prompt_tokens >= LONG_PROMPT_TOKENS:
             priority = min(PRIORITIES // 2 - 1, priority + 1)
-        if self._is_put_back(request.workspace, now):
+        if self._is_deprioritized(request.workspace, now):
             priority += PRIORITIES // 2
         return priority
 
@@ -146,14 +148,14 @@
         self.queue.charge(request.workspace, cost, share)
 
     def finish(
-        self, entry: ledger.Running, ok: bool, tokens: int, now: float
+        self, entry: ledger.RunningRequest, ok: bool, tokens: int, now: float
     ) -> None:
-        """Note that a request has ended.
+        """Record that a request has ended.
 
         Args:
           entry: the request.
-          ok: whether it got its whole answer.
-          tokens: tokens of its answer.
+          ok: whether it received its whole answer.
+          tokens: number of tokens of its answer.
           now: present time.
         """
         workspace = entry.request.workspace
@@ -163,62 +165,62 @@
             del self._at_group[entry.group]
         if not ok:
             return
-        self._answer_tokens += ANSWER_MEMORY * (tokens - self._answer_tokens)
+        self._answer_tokens += ANSWER_SMOOTHING * (tokens - self._answer_tokens)
         difference = entry.request.prompt_tokens + tokens - entry.cost
         share = self.usage.share_of(workspace)
         self.queue.correct(workspace, difference, share)
 
     def observe_first_token(
-        self, request: base.RequestView, group: str, waited: float, now: float
+        self, request: base.RequestView, group: str, waited_s: float, now: float
     ) -> None:
-        """Learn the time to a first token in seconds."""
+        """Record the time to a first token in seconds."""
         tokens = request.prompt_tokens
-        self.hedging.observe_first_token(tokens, waited)
-        queued = self._queueing.observe(tokens, waited, now)
+        self.hedging.observe_first_token(tokens, waited_s)
+        queued = self._queueing.observe(tokens, waited_s, now)
         if group in self._limits:
             self._limits[group].on_queueing(queued)
         self._at_group[group] += 1
 
     def note_saturated(self, now: float) -> None:
-        """Learn that a request found no place.
+        """Record that a request got no slot.
 
-        Only groups that are in use may get more; groups are all taken to be
-        in use while no first token has told where requests run, as for plain
-        services.
+        Only the limits of groups in use are raised. While no first token has
+        shown where requests run, as for plain services, all groups count as
+        in use.
         """
-        self._saturation.note(now)
+        self._saturation.record(now)
         located = sum(self._at_group.values())
         for group, limit in self._limits.items():
-            in_use = self._at_group[group] >= limit.limit * IN_USE
+            in_use = self._at_group[group] >= limit.limit * MIN_USE_TO_RAISE
             if in_use or not located:
                 limit.on_saturated()
 
     def adjust(self, now: float) -> None:
-        """Adapt the limits of the groups, and forget idle workspaces."""
+        """Adapt the limits of the groups, and remove idle workspaces."""
         for limit in self._limits.values():
             limit.adjust(now)
         self._sum_limits()
         self.usage.update(self.queue.workspaces(), now)
 
     def expected_wait(self, request: base.RequestView, now: float) -> float:
-        """Return the time in seconds that a request would wait."""
+        """Return the expected wait of a new request in seconds."""
         before = self.queue.count_before(request.workspace, request.priority)
         return (before + 1) / self._expected_rate(request.workspace, now)
 
     def longest_wait(self, configured: float, now: float) -> float:
-        """Return how long a request may wait in seconds."""
+        """Return the maximum wait of a request in seconds."""
         return self._saturation.longest_wait(configured, now)
 
-    def book(self, workspace: str, now: float) -> float:
-        """Return the delay in seconds that a rejected caller is told."""
+    def schedule_retry(self, workspace: str, now: float) -> float:
+        """Schedule a retry for a rejected caller; return the delay in s."""
         queued = self.queue.count(workspace)
         rate = self._expected_rate(workspace, now)
-        return self._come_back.book(workspace, queued, rate, now)
+        return self._retry_schedule.schedule_retry(workspace, queued, rate, now)
 
     def find_displaced(
         self, request: base.RequestView
     ) -> base.RequestView | None:
-        """Return the request that loses its place in a full queue, if any."""
+        """Return the request to displace from a full queue, if any."""
         return self.queue.find_displaced(request, self.usage.share_of)
 
     def snapshot(self) -> dict[str, Any]:
@@ -236,8 +238,8 @@
             },
         }
 
-    def _is_put_back(self, workspace: str, now: float) -> bool:
-        """Tell whether requests of others go before those of a workspace."""
+    def _is_deprioritized(self, workspace: str, now: float) -> bool:
+        """Return whether other workspaces take precedence over a workspace."""
         if not self._saturation.is_recent(now):
             return False
         return self.usage.is_over_share(workspace)
@@ -247,17 +249,19 @@
         return self.usage.expected_rate(workspace, waiting, now)
 
     def _sum_limits(self) -> None:
-        """Add up the limits, for the places and the headroom."""
-        self._places = sum(each.limit for each in self._limits.values())
+        """Compute the slots and the headroom from the limits."""
+        self._slots = sum(each.limit for each in self._limits.values())
         if self._reserved:
-            kept = sum(self._limits[group].limit for group in self._reserved)
-            self._headroom = kept / self._places
+            reserved_limit = sum(
+                self._limits[group].limit for group in self._reserved
+            )
+            self._headroom = reserved_limit / self._slots
         else:
             self._headroom = HEADROOM
 
 
 def _choose_reserved(groups: tuple[str, ...]) -> frozenset[str]:
-    """Choose the groups that make up the headroom, alike at all nodes."""
+    """Choose the groups of the headroom; all nodes choose the same."""
     if len(groups) < MIN_GROUPS_TO_RESERVE:
         return frozenset()
     count = round(len(groups) * HEADROOM)
--- a/chervilrock/decisions/limits/quota.py
+++ b/chervilrock/decisions/limits/quota.py
@@ -1,17 +1,18 @@
 """Bounds of workspaces over all nodes, without a central counter.
 
-Each node tells its peers how many requests of each bounded workspace it runs
-and holds. A node's part of a bound follows the demand at all nodes. Nodes
-learn of each other with a lag, so a part shrinks at once but grows only after
-`SETTLE_S`, when the others have had time to shrink theirs, and only as far as
-leaves room for what the others still run or have reserved.
-
-A node that lacks fresh news of any member falls back to an equal part for
-each member, which needs no news: in a partition the sum over both sides stays
-within the bound. There a part grows only after the longest time of a request,
-when the requests that ran on the other side have ended. Members count until
-the node drops them from its table, so a member that cannot be seen keeps its
-part.
+Each node reports to its peers how many requests of each bounded workspace run
+and wait at it. Each node has an allocation of a bound, which follows the
+demand at all nodes. Reports arrive with a lag, so an allocation shrinks at
+once but grows only after `PROPAGATION_S`, when the other nodes have had time
+to shrink theirs, and only as far as what the others still run or have
+reserved permits.
+
+A node without fresh reports from all members falls back to an equal
+allocation for each member, which needs no reports: in a partition, the sum
+over both sides stays within the bound. In that case an allocation grows only
+after the maximum duration of a request, when the requests that ran on the
+other side have ended. Members count until the node drops them from its table,
+so an unreachable member keeps its allocation.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,29 +21,29 @@
 
 from chervilrock.generated import interfaces
 
-SETTLE_S = 3.0
-"""Time in which news reaches every node; parts grow only after it."""
+PROPAGATION_S = 3.0
+"""Time for a report to reach all nodes; allocations grow only after it."""
 
-FRESH_S = 3.0
-"""Greatest age of news of a peer in seconds."""
+MAX_PEER_AGE_S = 3.0
+"""Maximum age in seconds at which the report of a peer is used."""
 
 
 class _PeerUse(NamedTuple):
-    known_at: float
+    measured_at: float
     uses: Mapping[str, interfaces.WorkspaceUse]
 
 
-class _Part(NamedTuple):
+class _Allocation(NamedTuple):
     allowed: int
     wanted: int
     wanted_since: float
 
 
 class Quota:
-    """This node's parts of the bounds of workspaces."""
+    """Allocations of this node from the bounds of workspaces."""
 
     def __init__(self, *, node: str) -> None:
-        """Start with no bound and no members.
+        """Create a quota without bounds, with this node as the only member.
 
         Args:
           node: identifier of this node.
@@ -51,23 +52,25 @@
         self._bounds: dict[str, int] = {}
         self._members: frozenset[str] = frozenset({node})
         self._peers: dict[str, _PeerUse] = {}
-        self._parts: dict[str, _Part] = {}
+        self._allocations: dict[str, _Allocation] = {}
         self._allowed: dict[str, int] = {}
-        self._longest_s = 0.0
+        self._max_request_s = 0.0
 
     def set_bounds(
-        self, bounds: Mapping[str, int], *, longest_s: float
+        self, bounds: Mapping[str, int], *, max_request_s: float
     ) -> None:
         """Set the bounds.
 
         Args:
           bounds: bound of each bounded workspace over all nodes.
-          longest_s: longest time of a request in seconds.
+          max_request_s: maximum duration of a request in seconds.
         """
         self._bounds = dict(bounds)
-        self._longest_s = longest_s
-        self._parts = {
-            name: part for name, part in self._parts.items() if name in bounds
+        self._max_request_s = max_request_s
+        self._allocations = {
+            name: allocation
+            for name, allocation in self._allocations.items()
+            if name in bounds
         }
         self._allowed = {
             name: allowed
@@ -76,7 +79,7 @@
         }
 
     def is_bounded(self, workspace: str) -> bool:
-        """Tell whether a workspace has a bound."""
+        """Return whether a workspace has a bound."""
         return workspace in self._bounds
 
     def bounded(self) -> tuple[str, ...]:
@@ -84,7 +87,7 @@
         return tuple(self._bounds)
 
     def observe_members(self, members: Iterable[str]) -> None:
-        """Learn all nodes that may run requests, reachable or not."""
+        """Set all nodes that may run requests, reachable or not."""
         self._members = frozenset(members) | {self._node}
         self._peers = {
             node: use
@@ -93,51 +96,57 @@
         }
 
     def observe_peer(self, use: interfaces.NodeUse, now: float) -> None:
-        """Learn the use of a peer; older news than the known is dropped."""
+        """Record the use of a peer unless a newer report is known."""
         if use.node == self._node:
             return
-        known_at = now - use.age_ms / 1000.0
+        measured_at = now - use.age_ms / 1000.0
         known = self._peers.get(use.node)
-        if known is not None and known.known_at >= known_at:
+        if known is not None and known.measured_at >= measured_at:
             return
         uses = {entry.workspace: entry for entry in use.uses}
-        self._peers[use.node] = _PeerUse(known_at, uses)
+        self._peers[use.node] = _PeerUse(measured_at, uses)
 
     def peer_uses(self, now: float) -> tuple[interfaces.NodeUse, ...]:
-        """Return fresh news of peers with its age, to be handed on."""
+        """Return the fresh reports of peers with their age, to forward."""
         return tuple(
             interfaces.NodeUse(
                 node=node,
-                age_ms=math.ceil((now - use.known_at) * 1000.0),
+                age_ms=math.ceil((now - use.measured_at) * 1000.0),
                 uses=tuple(use.uses.values()),
             )
             for node, use in self._peers.items()
-            if now - use.known_at <= FRESH_S
+            if now - use.measured_at <= MAX_PEER_AGE_S
         )
 
     def update(
         self, own: Iterable[interfaces.WorkspaceUse], now: float
     ) -> None:
-        """Move the parts of all bounded workspaces.
+        """Update the allocations of all bounded workspaces.
 
-        It has to be called several times a second.
+        It must be called several times a second.
 
         Args:
           own: use of each bounded workspace at this node.
           now: present time.
         """
-        knows_all = self._knows_all(now)
-        settle = SETTLE_S if knows_all else max(SETTLE_S, self._longest_s)
+        has_fresh_peers = self._has_fresh_peers(now)
+        settle_s = (
+            PROPAGATION_S
+            if has_fresh_peers
+            else max(PROPAGATION_S, self._max_request_s)
+        )
         for use in own:
             name = use.workspace
-            wanted = self._equal_part(name)
-            if knows_all:
-                wanted = self._wanted_part(use)
-            part = self._parts.get(name, _Part(0, wanted, now))
-            part = _move_part(part, wanted, settle, now)
-            self._parts[name] = part
-            excess = self._excess(use) if knows_all else 0
-            self._allowed[name] = max(0, part.allowed - excess)
+            wanted = self._equal_allocation(name)
+            if has_fresh_peers:
+                wanted = self._wanted_allocation(use)
+            allocation = self._allocations.get(
+                name, _Allocation(0, wanted, now)
+            )
+            allocation = _update_allocation(allocation, wanted, settle_s, now)
+            self._allocations[name] = allocation
+            excess = self._excess(use) if has_fresh_peers else 0
+            self._allowed[name] = max(0, allocation.allowed - excess)
 
     def allowed(self, workspace: str) -> int:
         """Return how many requests of a bounded workspace may run here."""
@@ -146,54 +155,61 @@
     def reserved(self, workspace: str) -> int:
         """Return how many requests may run here now or soon.
 
-        A part is told to the others before it is used.
+        An allocation is reported to the other nodes before it is used.
         """
-        part = self._parts.get(workspace)
-        return max(part.allowed, part.wanted) if part is not None else 0
+        allocation = self._allocations.get(workspace)
+        return (
+            max(allocation.allowed, allocation.wanted)
+            if allocation is not None
+            else 0
+        )
 
-    def _knows_all(self, now: float) -> bool:
+    def _has_fresh_peers(self, now: float) -> bool:
         for node in self._members:
             if node == self._node:
                 continue
             use = self._peers.get(node)
-            if use is None or now - use.known_at > FRESH_S:
+            if use is None or now - use.measured_at > MAX_PEER_AGE_S:
                 return False
         return True
 
-    def _equal_part(self, workspace: str) -> int:
-        """Return the part that is safe without news of the others."""
-        whole, rest = divmod(self._bounds[workspace], len(self._members))
-        place = sorted(self._members).index(self._node)
-        return whole + (1 if place < rest else 0)
+    def _equal_allocation(self, workspace: str) -> int:
+        """Return the allocation that is safe without reports of peers."""
+        whole, remainder = divmod(self._bounds[workspace], len(self._members))
+        rank = sorted(self._members).index(self._node)
+        return whole + (1 if rank < remainder else 0)
 
-    def _wanted_part(self, own: interfaces.WorkspaceUse) -> int:
-        """Return the part by demand, with the news that this node has."""
-        return self._part_for(own, self._demand(own))
+    def _wanted_allocation(self, own: interfaces.WorkspaceUse) -> int:
+        """Return the allocation by demand, from the reports at this node."""
+        return self._allocation_for(own, self._demand(own))
 
     def _demand(self, own: interfaces.WorkspaceUse) -> int:
         """Return the demand at all nodes.
 
-        Each member counts one request more, so that none gets nothing.
+        Each member counts as one more request, so that a member without
+        requests still has some demand.
         """
         entries = [own, *self._peer_entries(own.workspace)]
         demand = sum(entry.in_flight + entry.waiting for entry in entries)
         return demand + len(self._members)
 
-    def _part_for(self, use: interfaces.WorkspaceUse, total: int) -> int:
+    def _allocation_for(self, use: interfaces.WorkspaceUse, total: int) -> int:
         demand = use.in_flight + use.waiting + 1
         return self._bounds[use.workspace] * demand // total
 
     def _excess(self, own: interfaces.WorkspaceUse) -> int:
-        """Return by how much others run or reserve more than their parts.
+        """Return how much peers run or reserve beyond their allocations.
 
-        A node whose part has shrunk still runs what it started before. Every
-        other node leaves room for all of it, which is more than needed, but
-        needs no agreement on who leaves how much.
+        A node whose allocation has shrunk still runs the requests that it
+        started before. Every other node subtracts all of this excess, which
+        is more than needed, but requires no agreement on how to divide it.
         """
         total = self._demand(own)
         return sum(
             max(
-                0, max(use.in_flight, use.reserved) - self._part_for(use, total)
+                0,
+                max(use.in_flight, use.reserved)
+                - self._allocation_for(use, total),
             )
             for use in self._peer_entries(own.workspace)
         )
@@ -207,12 +223,14 @@
                 yield entry
 
 
-def _move_part(part: _Part, wanted: int, settle: float, now: float) -> _Part:
-    """Shrink a part at once; grow it to the least wish of the last time."""
-    if wanted <= part.allowed:
-        return _Part(wanted, wanted, now)
-    if wanted < part.wanted or part.wanted <= part.allowed:
-        return _Part(part.allowed, wanted, now)
-    if now - part.wanted_since >= settle:
-        return _Part(part.wanted, wanted, now)
-    return part
+def _update_allocation(
+    allocation: _Allocation, wanted: int, settle_s: float, now: float
+) -> _Allocation:
+    """Shrink at once; grow to the minimum wanted during `settle_s`."""
+    if wanted <= allocation.allowed:
+        return _Allocation(wanted, wanted, now)
+    if wanted < allocation.wanted or allocation.wanted <= allocation.allowed:
+        return _Allocation(allocation.allowed, wanted, now)
+    if now - allocation.wanted_since >= settle_s:
+        return _Allocation(allocation.wanted, wanted, now)
+    return allocation
--- a/chervilrock/decisions/limits/retries.py
+++ b/chervilrock/decisions/limits/retries.py
@@ -1,25 +1,25 @@
-"""Budget that keeps retries to a share of the load."""
+"""Budget that limits retries to a fraction of the load."""
 
 INITIAL_TOKENS = 1.0
 MAX_TOKENS = 5.0
-"""Retries that may follow each other after a long time without any."""
+"""Maximum burst of retries after a long time without any."""
 
 
 class RetryBudget:
-    """Token bucket that first attempts fill and further attempts empty.
+    """Token bucket refilled by first attempts and drained by further ones.
 
-    Over any time, further attempts are at most the ratio times the first
-    attempts, plus what the bucket held before.
+    Over any period, further attempts are at most the ratio times the first
+    attempts, plus the tokens in the bucket at its start.
     """
 
     def __init__(self) -> None:
-        """Start with a single token and no ratio."""
+        """Create a budget with a single token and a ratio of 0."""
         self._ratio = 0.0
         self._tokens = INITIAL_TOKENS
 
     @property
     def tokens(self) -> float:
-        """Further attempts allowed now; not a whole number."""
+        """Further attempts allowed now, not rounded to an integer."""
         return self._tokens
 
     def set_ratio(self, ratio: float) -> None:
@@ -27,14 +27,14 @@
         self._ratio = ratio
 
     def on_request(self) -> None:
-        """Learn of a first attempt."""
+        """Refill the bucket for a first attempt."""
         self._tokens = min(MAX_TOKENS, self._tokens + self._ratio)
 
-    def take(self, *, reserve: float = 0.0) -> bool:
-        """Take a token for a further attempt.
+    def consume(self, *, reserve: float = 0.0) -> bool:
+        """Consume a token for a further attempt.
 
         Args:
-          reserve: tokens that must be left afterwards.
+          reserve: tokens that must remain afterwards.
 
         Returns:
           Whether the attempt is allowed.
--- a/chervilrock/decisions/limits/saturation.py
+++ b/chervilrock/decisions/limits/saturation.py
@@ -1,45 +1,47 @@
-"""Whether requests find no place, and for how long they may then wait."""
+"""Saturation of a model, and how long requests may wait under it."""
 
 SATURATED_S = 5.0
-"""Time for which a model counts as saturated after the last such request."""
+"""Time after a request without a slot for which a model is saturated."""
 
 BURST_S = 5.0
-"""Time of saturation that is taken for a burst."""
+"""Duration of saturation up to which it counts as a burst."""
 
-GAP_S = 1.0
-"""Greatest gap between requests without a place in such a time."""
+MAX_GAP_S = 1.0
+"""Maximum gap between requests without a slot in one saturated period."""
 
-STANDING_WAIT = 0.25
-"""Share of the longest wait that is left after a burst."""
+SATURATED_WAIT_SHARE = 0.25
+"""Fraction of the maximum wait that applies after a burst."""
 
 
 class Saturation:
-    """Requests of one model that found no place."""
+    """Tracks the times at which requests of one model got no slot."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create a tracker for a model that is not saturated."""
         self._since = float("-inf")
         self._last = float("-inf")
 
-    def note(self, now: float) -> None:
-        """Learn that a request found no place."""
-        if now - self._last > GAP_S:
+    def record(self, now: float) -> None:
+        """Record that a request got no slot."""
+        if now - self._last > MAX_GAP_S:
             self._since = now
         self._last = now
 
     def is_recent(self, now: float) -> bool:
-        """Tell whether requests found no place lately."""
+        """Return whether a request got no slot recently."""
         return now - self._last < SATURATED_S
 
     def longest_wait(self, configured: float, now: float) -> float:
-        """Return how long a request may wait in seconds.
+        """Return the maximum wait of a request in seconds.
 
-        A queue should take up bursts. While requests have found no place for
-        longer than a burst, it only delays every request, so it is made short.
+        A queue should absorb bursts. Under saturation that outlasts a burst,
+        it only delays every request, so the wait is shortened.
 
         Args:
-          configured: longest wait of the configuration.
+          configured: maximum wait of the configuration in seconds.
           now: present time.
         """
-        stands = now - self._last <= GAP_S and now - self._since >= BURST_S
-        return configured * STANDING_WAIT if stands else configured
+        is_standing = (
+            now - self._last <= MAX_GAP_S and now - self._since >= BURST_S
+        )
+        return configured * SATURATED_WAIT_SHARE if is_standing else configured
--- a/chervilrock/decisions/limits/settings.py
+++ b/chervilrock/decisions/limits/settings.py
@@ -1,17 +1,17 @@
-"""Limits as the decisions use them, read from a configuration."""
+"""Limits in the form used by admission, read from a configuration."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
 from chervilrock.generated import configuration
 
-DEFAULT_QUEUE = 256
+DEFAULT_MAX_QUEUE = 256
 DEFAULT_QUEUE_WAIT_MS = 2000
 DEFAULT_REQUEST_TIMEOUT_MS = 120000
 DEFAULT_RETRY_RATIO = 0.1
 DEFAULT_SERVICE_IN_FLIGHT = 64
 MIN_SHARE = 0.01
-"""Least weight of a workspace, so that each gets places at some time."""
+"""Minimum weight of a workspace, so that each gets slots eventually."""
 
 
 class LimitSettings(NamedTuple):
@@ -19,8 +19,8 @@
 
     Attributes:
       max_queue: requests that may wait at the node
-      max_wait_s: longest wait in the queue in seconds
-      request_timeout_s: longest time for a whole answer in seconds
+      max_wait_s: maximum wait in the queue in seconds
+      request_timeout_s: maximum time for a whole answer in seconds
       retry_ratio: further attempts allowed for each first one
       shares: weight by workspace
       bounds: requests in flight over all nodes by bounded workspace
@@ -45,7 +45,7 @@
     wait_ms = limits.get("queue_wait_ms", DEFAULT_QUEUE_WAIT_MS)
     timeout_ms = limits.get("request_timeout_ms", DEFAULT_REQUEST_TIMEOUT_MS)
     return LimitSettings(
-        max_queue=limits.get("queue", DEFAULT_QUEUE),
+        max_queue=limits.get("queue", DEFAULT_MAX_QUEUE),
         max_wait_s=wait_ms / 1000.0,
         request_timeout_s=timeout_ms / 1000.0,
         retry_ratio=limits.get("retry_ratio", DEFAULT_RETRY_RATIO),
--- a/chervilrock/decisions/limits/state.py
+++ b/chervilrock/decisions/limits/state.py
@@ -1,6 +1,6 @@
-"""State of the limits of a node, and what it learns from.
+"""State of the limits of a node, and the observations that update it.
 
-`chervilrock.decisions.limits.admission` decides with it.
+`chervilrock.decisions.limits.admission` makes its decisions from this state.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,10 +17,10 @@
 from chervilrock.decisions.routing import base
 from chervilrock.generated import configuration, interfaces
 
-UNLISTED = "default"
-"""Workspace that stands for all that the configuration does not list.
+UNLISTED_WORKSPACE = "default"
+"""Workspace that represents all workspaces missing in the configuration.
 
-Together they have one share, so that nobody gains places by inventing names.
+They have one share together, so that invented names gain no slots.
 """
 
 
@@ -34,7 +34,7 @@
         limits: configuration.LimitSpec,
         workspaces: Sequence[configuration.WorkspaceSpec] = (),
     ) -> None:
-        """Start with no groups.
+        """Create the state without groups.
 
         Args:
           node: identifier of this node.
@@ -44,7 +44,7 @@
         self._node = node
         self._nodes = 1
         self._pools: dict[str, pools.Pool] = {}
-        self._ledger = ledger.Ledger()
+        self._requests = ledger.RequestTracker()
         self._quota = quotas.Quota(node=node)
         self._budget = retries.RetryBudget()
         self._settings = settings.read_settings(limits, workspaces, ())
@@ -58,32 +58,32 @@
         *,
         services: Sequence[configuration.ServiceSpec] = (),
     ) -> None:
-        """Put the limits of a configuration in force.
+        """Apply the limits of a configuration.
 
-        Requests that run or wait are kept; later decisions follow the new
+        Running and waiting requests are kept; later decisions use the new
         limits.
 
         Args:
           limits: limits of the configuration.
           workspaces: workspaces of the configuration.
           now: present time.
-          services: plain services, each a model of its name here.
+          services: plain services, each treated as a model of its name.
         """
         del now
         self._settings = settings.read_settings(limits, workspaces, services)
         self._apply_settings()
 
     def observe_hedge(self, request_id: str, won: bool, now: float) -> None:
-        """Learn whether the hedge of a running request came first."""
+        """Record whether the hedge of a running request answered first."""
         del now
-        entry = self._ledger.find_running(request_id)
+        entry = self._requests.find_running(request_id)
         if entry is not None:
             self._pools[entry.request.model].hedging.observe_hedge(won)
 
     def observe_groups(
         self, endpoints: Sequence[base.Endpoint], now: float
     ) -> None:
-        """Learn which groups are whole and serving now."""
+        """Set the groups that are complete and serving now."""
         del now
         groups: dict[str, list[str]] = {model: [] for model in self._pools}
         for endpoint in endpoints:
@@ -95,34 +95,34 @@
             self._set_groups(model, tuple(names))
 
     def observe_first_token(
-        self, request_id: str, group: str, waited: float, now: float
+        self, request_id: str, group: str, waited_s: float, now: float
     ) -> None:
-        """Learn that the first token came `waited` seconds after sending."""
-        entry = self._ledger.find_running(request_id)
+        """Record a first token `waited_s` seconds after sending."""
+        entry = self._requests.find_running(request_id)
         if entry is None or entry.group:
             return
-        self._ledger.note_group(request_id, group)
+        self._requests.note_group(request_id, group)
         pool = self._pools[entry.request.model]
-        pool.observe_first_token(entry.request, group, waited, now)
+        pool.observe_first_token(entry.request, group, waited_s, now)
 
     def observe_load(
         self, group: str, load: interfaces.EngineLoad, now: float
     ) -> None:
-        """Learn from a load report of a group."""
+        """Record a load report of a group."""
         del now
         limit = self._find_limit(group)
         if limit is not None:
             limit.on_load(load["waiting"])
 
     def observe_refusal(self, group: str, now: float) -> None:
-        """Learn that a group refused a request because of overload."""
+        """Record that a group rejected a request because of overload."""
         del now
         limit = self._find_limit(group)
         if limit is not None:
             limit.on_overload()
 
     def observe_members(self, members: Iterable[str], now: float) -> None:
-        """Learn all nodes that may run requests, reachable or not."""
+        """Set all nodes that may run requests, reachable or not."""
         del now
         members = frozenset(members) | {self._node}
         self._quota.observe_members(members)
@@ -133,27 +133,27 @@
     def observe_peer_shares(
         self, uses: Iterable[interfaces.NodeUse], now: float
     ) -> None:
-        """Learn what peers run of the bounded workspaces."""
+        """Record the use of the bounded workspaces at peers."""
         for use in uses:
             self._quota.observe_peer(use, now)
 
     def shares(self, now: float) -> tuple[interfaces.NodeUse, ...]:
-        """Return the use of this node and of its peers, for an exchange."""
+        """Return the use of this node and its peers, to send to a peer."""
         own = interfaces.NodeUse(
             node=self._node, age_ms=0, uses=self._own_uses()
         )
         return (own, *self._quota.peer_uses(now))
 
     def load(self) -> float:
-        """Return the share of all places that is taken, 0 to about 1."""
+        """Return the fraction of all slots in use, 0 to about 1."""
         capacity = sum(pool.capacity() for pool in self._pools.values())
-        return self._ledger.running / capacity if capacity else 0.0
+        return self._requests.running / capacity if capacity else 0.0
 
     def snapshot(self) -> dict[str, Any]:
         """Return the state for the state dump, as JSON values."""
         return {
-            "running": self._ledger.running,
-            "waiting": self._ledger.waiting,
+            "running": self._requests.running,
+            "waiting": self._requests.waiting,
             "retry_tokens": round(self._budget.tokens, 2),
             "models": {
                 model: pool.snapshot() for model, pool in self._pools.items()
@@ -168,7 +168,7 @@
         self._budget.set_ratio(self._settings.retry_ratio)
         self._quota.set_bounds(
             self._settings.bounds,
-            longest_s=self._settings.request_timeout_s,
+            max_request_s=self._settings.request_timeout_s,
         )
         for model, pool in self._pools.items():
             pool.usage.set_shares(self._settings.shares)
@@ -183,14 +183,14 @@
     def _account_for(self, request: base.RequestView) -> base.RequestView:
         if request.workspace in self._settings.shares:
             return request
-        return request._replace(workspace=UNLISTED)
+        return request._replace(workspace=UNLISTED_WORKSPACE)
 
     def _own_uses(self) -> tuple[interfaces.WorkspaceUse, ...]:
         return tuple(
             interfaces.WorkspaceUse(
                 workspace=name,
-                in_flight=self._ledger.running_of(name),
-                waiting=self._ledger.waiting_of(name),
+                in_flight=self._requests.running_of(name),
+                waiting=self._requests.waiting_of(name),
                 reserved=self._quota.reserved(name),
             )
             for name in self._quota.bounded()
--- a/chervilrock/decisions/limits/usage.py
+++ b/chervilrock/decisions/limits/usage.py
@@ -1,4 +1,4 @@
-"""Use of one model by the workspaces, measured against their shares."""
+"""Use of one model by workspaces, compared with their shares."""
 
 import collections
 from collections.abc import Iterable, Mapping
@@ -12,26 +12,26 @@
 minutes, and the groups are shared by all nodes.
 """
 
-MEASURED_S = 1.0
-"""Time with requests in the queue after which their rate is measured."""
+MIN_QUEUED_S = 1.0
+"""Time in the queue after which the measured rate of starts is used."""
 
 
 class Usage:
-    """What the workspaces run, and at which rate their requests start."""
+    """Running requests of workspaces, and the rate at which they start."""
 
     def __init__(self) -> None:
-        """Start without any request."""
+        """Create usage without requests."""
         self._shares: Mapping[str, float] = {}
         self._running: collections.Counter[str] = collections.Counter()
         self._total = 0
         self._active: dict[str, float] = {}
         self._starts: dict[str, throughput.ReleaseRate] = {}
-        self._ends = throughput.ReleaseRate()
+        self._completions = throughput.ReleaseRate()
         self._waiting_since: dict[str, float] = {}
 
     @property
     def total(self) -> int:
-        """Requests that run."""
+        """Number of running requests."""
         return self._total
 
     def running(self) -> dict[str, int]:
@@ -47,27 +47,27 @@
         return self._shares.get(workspace, 1.0)
 
     def note_active(self, workspace: str, now: float) -> None:
-        """Learn that a workspace sends requests."""
+        """Record that a workspace sends requests."""
         self._active[workspace] = now
 
     def start(self, workspace: str, now: float) -> None:
-        """Note that a request runs."""
+        """Record that a request has started."""
         starts = self._starts.setdefault(workspace, throughput.ReleaseRate())
         starts.on_release(now)
         self._running[workspace] += 1
         self._total += 1
 
     def finish(self, workspace: str, now: float) -> None:
-        """Note that a request has ended."""
+        """Record that a request has ended."""
         self._running[workspace] -= 1
         self._total -= 1
-        self._ends.on_release(now)
+        self._completions.on_release(now)
 
     def update(self, waiting: Iterable[str], now: float) -> None:
-        """Follow the queue, and forget workspaces that are idle.
+        """Update from the queue, and remove idle workspaces.
 
         Args:
-          waiting: workspaces with requests that wait.
+          waiting: workspaces with waiting requests.
           now: present time.
         """
         self._waiting_since = {
@@ -80,39 +80,43 @@
                 self._starts.pop(workspace, None)
 
     def is_within_share(self, workspace: str) -> bool:
-        """Tell whether a workspace has less than its part of what runs."""
-        part = self._fair_part(workspace)
-        return part >= 1.0 or self._running[workspace] < part * self._total
+        """Return whether a workspace runs less than its fair fraction."""
+        fraction = self._fair_fraction(workspace)
+        return (
+            fraction >= 1.0 or self._running[workspace] < fraction * self._total
+        )
 
     def is_over_share(self, workspace: str) -> bool:
-        """Tell whether a workspace has more than its part of what runs."""
-        part = self._fair_part(workspace)
-        return part < 1.0 and self._running[workspace] > part * self._total
+        """Return whether a workspace runs more than its fair fraction."""
+        fraction = self._fair_fraction(workspace)
+        return (
+            fraction < 1.0 and self._running[workspace] > fraction * self._total
+        )
 
     def expected_rate(
         self, workspace: str, waiting: Iterable[str], now: float
     ) -> float:
-        """Return the places a second that a workspace can expect.
+        """Return the slots per second that a workspace can expect.
 
-        A workspace whose requests have waited for some time goes on with the
+        For a workspace whose requests have waited for some time, it is the
         rate at which they started; for others it follows from the shares.
 
         Args:
           workspace: name of the workspace.
-          waiting: workspaces with requests that wait.
+          waiting: workspaces with waiting requests.
           now: present time.
         """
         since = self._waiting_since.get(workspace, now)
-        if now - since > MEASURED_S and workspace in self._starts:
+        if now - since > MIN_QUEUED_S and workspace in self._starts:
             return self._starts[workspace].rate(now, running=0)
-        rate = self._ends.rate(now, running=self._total)
+        rate = self._completions.rate(now, running=self._total)
         names = {*waiting, workspace}
-        return rate * self._part_among(workspace, names)
+        return rate * self._fraction_among(workspace, names)
 
-    def _fair_part(self, workspace: str) -> float:
-        """Return the share of the places that a workspace may count on."""
-        return self._part_among(workspace, {*self._active, workspace})
+    def _fair_fraction(self, workspace: str) -> float:
+        """Return the fraction of the slots to which a workspace is entitled."""
+        return self._fraction_among(workspace, {*self._active, workspace})
 
-    def _part_among(self, workspace: str, names: Iterable[str]) -> float:
+    def _fraction_among(self, workspace: str, names: Iterable[str]) -> float:
         total = sum(self.share_of(name) for name in names)
         return self.share_of(workspace) / total
--- a/chervilrock/decisions/limits/verdicts.py
+++ b/chervilrock/decisions/limits/verdicts.py
@@ -1,11 +1,11 @@
-"""Verdicts of the admission of requests."""
+"""Verdicts of the admission control."""
 
 import enum
 from typing import NamedTuple
 
 
 class RejectCode(enum.StrEnum):
-    """Why a request was given up on before it was sent anywhere."""
+    """Reason for rejecting a request before it was sent to a group."""
 
     DEADLINE = "deadline_exceeded"
     NO_GROUP = "no_group"
@@ -26,12 +26,12 @@
 
 
 class Rejected(NamedTuple):
-    """The request is not run; the caller must be told at once.
+    """The request is not run; the caller must be answered at once.
 
     Attributes:
       request_id: identity of the request
-      code: why it is rejected
-      retry_after_s: time in seconds after which a place is expected
+      code: reason for the rejection
+      retry_after_s: time in seconds after which a slot is expected
     """
 
     request_id: str
@@ -44,9 +44,9 @@
 
     Attributes:
       request_id: identity of the request
-      position: requests that wait, this one included
-      displaced: requests that lose their place in the full queue to this one
-        and must be answered at once
+      position: number of waiting requests, this one included
+      displaced: requests removed from the full queue to make room for this
+        one; their callers must be answered at once
     """
 
     request_id: str
--- a/test/decisions/limits/test_admission.py
+++ b/test/decisions/limits/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission against a simple account of every request."""
+"""Admission control, checked against a simple model of all requests."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -83,7 +83,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Keeps one account of each request; each may end once only."""
+    """Tracks each request; each must have exactly one outcome."""
 
     def __init__(self):
         super().__init__()
@@ -101,11 +101,11 @@
         self.admission.observe_members(MEMBERS, self.now)
         self.admission.observe_groups(make_endpoints(count), self.now)
 
-    def end(self, request_id, how):
+    def record_end(self, request_id, outcome):
         assert_that(request_id in self.ended, Equals(False))
-        self.ended[request_id] = how
+        self.ended[request_id] = outcome
 
-    def take_admitted(self, request_id, request):
+    def check_admitted(self, request_id, request):
         self.running[request_id] = request
         model = self.admission.snapshot()["models"][request.model]
         capacity = max(1, int(sum(model["limits"].values()) + 0.02))
@@ -122,51 +122,51 @@
         ]
         assert_that(len(bounded), LessThan(BOUND + 1))
 
-    def take_rejected(self, rejected):
-        self.end(rejected.request_id, rejected.code)
+    def check_rejected(self, rejected):
+        self.record_end(rejected.request_id, rejected.code)
         assert_that(rejected.retry_after_s, GreaterThan(0.0))
         assert_that(rejected.retry_after_s, LessThan(31.0))
 
-    def take_all_admitted(self, request_ids):
+    def check_all_admitted(self, request_ids):
         for request_id in request_ids:
-            self.take_admitted(request_id, self.waiting.pop(request_id))
+            self.check_admitted(request_id, self.waiting.pop(request_id))
 
     @rule(
         workspace=st.sampled_from(["large", "small", "bounded", "unknown"]),
         model=st.sampled_from(["m", "m", "m", "n", "none"]),
         priority=st.integers(0, 9),
-        patience=st.floats(0.0, 5.0),
+        patience_s=st.floats(0.0, 5.0),
         tokens=st.integers(1, 5000),
     )
-    def offer(self, workspace, model, priority, patience, tokens):
+    def offer(self, workspace, model, priority, patience_s, tokens):
         self.number += 1
         request = make_request(
             self.number,
             workspace=workspace,
             model=model,
             priority=priority,
-            deadline=self.now + patience,
+            deadline=self.now + patience_s,
             prompt_tokens=tokens,
         )
         verdict = self.admission.offer(request, self.now)
         assert_that(verdict.request_id, Equals(request.request_id))
         if isinstance(verdict, verdicts.Admitted):
-            self.take_admitted(request.request_id, request)
+            self.check_admitted(request.request_id, request)
         elif isinstance(verdict, verdicts.Queued):
             self.waiting[request.request_id] = request
             for rejected in verdict.displaced:
                 del self.waiting[rejected.request_id]
-                self.take_rejected(rejected)
+                self.check_rejected(rejected)
         else:
-            self.take_rejected(verdict)
+            self.check_rejected(verdict)
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), ok=st.booleans(), tokens=st.integers(0, 500))
     def release(self, data, ok, tokens):
         request_id = data.draw(st.sampled_from(sorted(self.running)))
         del self.running[request_id]
-        self.end(request_id, "released")
-        self.take_all_admitted(
+        self.record_end(request_id, "released")
+        self.check_all_admitted(
             self.admission.release(request_id, self.now, ok, tokens=tokens)
         )
         again = self.admission.release(request_id, self.now, ok)
@@ -177,7 +177,7 @@
     def cancel(self, data):
         request_id = data.draw(st.sampled_from(sorted(self.waiting)))
         del self.waiting[request_id]
-        self.end(request_id, "cancelled")
+        self.record_end(request_id, "cancelled")
         assert_that(self.admission.cancel(request_id, self.now), Equals(True))
         assert_that(self.admission.cancel(request_id, self.now), Equals(False))
 
@@ -186,10 +186,10 @@
         self.now += seconds
         for rejected in self.admission.expire(self.now):
             del self.waiting[rejected.request_id]
-            self.take_rejected(rejected)
+            self.check_rejected(rejected)
         for request in self.waiting.values():
             assert_that(request.deadline, GreaterThan(self.now))
-        self.take_all_admitted(self.admission.admit(self.now))
+        self.check_all_admitted(self.admission.admit(self.now))
 
     @rule(count=st.integers(0, 3), other=st.integers(0, 1))
     def change_groups(self, count, other):
@@ -216,16 +216,18 @@
         self.admission.observe_load(group, load, self.now)
 
     @precondition(lambda self: self.running)
-    @rule(data=st.data(), waited=st.floats(0.0, 5.0))
-    def first_token(self, data, waited):
+    @rule(data=st.data(), waited_s=st.floats(0.0, 5.0))
+    def first_token(self, data, waited_s):
         request_id = data.draw(st.sampled_from(sorted(self.running)))
-        self.admission.observe_first_token(request_id, "m-0", waited, self.now)
+        self.admission.observe_first_token(
+            request_id, "m-0", waited_s, self.now
+        )
 
     @rule(
         peers=st.lists(st.sampled_from(["b", "c"]), unique=True),
         in_flight=st.integers(0, BOUND),
     )
-    def hear_peers(self, peers, in_flight):
+    def receive_peer_uses(self, peers, in_flight):
         use = interfaces.WorkspaceUse("bounded", in_flight, 0, 1)
         self.admission.observe_members(["b", "c"], self.now)
         self.admission.observe_peer_shares(
@@ -234,7 +236,7 @@
         )
 
     @invariant()
-    def account_agrees(self):
+    def counts_agree(self):
         snapshot = self.admission.snapshot()
         assert_that(snapshot["running"], Equals(len(self.running)))
         assert_that(snapshot["waiting"], Equals(len(self.waiting)))
@@ -245,13 +247,13 @@
         self.now += 100.0
         for rejected in self.admission.expire(self.now):
             del self.waiting[rejected.request_id]
-            self.take_rejected(rejected)
+            self.check_rejected(rejected)
         assert_that(len(self.waiting), Equals(0))
         for request_id in list(self.running):
             del self.running[request_id]
-            self.end(request_id, "released")
+            self.record_end(request_id, "released")
             self.admission.release(request_id, self.now, True)
-        self.account_agrees()
+        self.counts_agree()
 
 
 TestAdmissionMachine = AdmissionMachine.TestCase
@@ -271,7 +273,7 @@
     assert_that(verdict.code, Equals(verdicts.RejectCode.NO_GROUP))
 
 
-def test_small_workspace_starts_beside_one_that_takes_all(admission):
+def test_small_workspace_starts_beside_one_that_fills_the_slots(admission):
     admission.observe_groups(make_endpoints(5), 0.0)
     admission.offer(make_request("seen"), 0.0)
     admission.release("seen", 0.0, True)
@@ -280,14 +282,14 @@
     assert_that(verdict, IsInstance(verdicts.Admitted))
 
 
-def test_waiting_request_is_admitted_when_a_place_gets_free(admission):
+def test_waiting_request_is_admitted_when_a_slot_is_released(admission):
     admitted, verdict = fill(admission)
     assert_that(verdict, IsInstance(verdicts.Queued))
     now_admitted = admission.release(admitted[0], 0.1, True)
     assert_that(now_admitted, Equals((verdict.request_id,)))
 
 
-def test_queue_that_takes_too_long_is_refused_before_it_is_joined(admission):
+def test_request_that_would_wait_too_long_is_rejected_at_once(admission):
     fill(admission)
     codes = []
     for number in range(20):
@@ -299,7 +301,7 @@
     assert_that(codes, Contains(verdicts.RejectCode.OVERLOADED))
 
 
-def test_full_queue_gives_a_place_of_the_longest_queue(admission):
+def test_full_queue_displaces_from_the_longest_workspace_queue(admission):
     fill(admission)
     for number in range(20):
         admission.offer(make_request(number, workspace="large"), 0.0)
@@ -310,7 +312,7 @@
     assert_that(displaced.code, Equals(verdicts.RejectCode.QUEUE_FULL))
 
 
-def test_rejected_callers_come_back_one_after_the_other(admission):
+def test_retry_delays_of_rejected_callers_are_staggered(admission):
     fill(admission)
     delays = []
     for number in range(30):
@@ -345,9 +347,9 @@
     assert_that(admission.allow_hedge(other, 0.0), Equals(True))
 
 
-def test_workspaces_that_are_not_listed_share_one_account(admission):
+def test_unlisted_workspaces_share_one_account(admission):
     for number in range(100):
         name = f"invented{number}"
         admission.offer(make_request(number, workspace=name), 0.0)
     running = admission.snapshot()["models"]["m"]["running"]
-    assert_that(list(running), Equals([state.UNLISTED]))
+    assert_that(list(running), Equals([state.UNLISTED_WORKSPACE]))
--- a/test/decisions/limits/test_concurrency.py
+++ b/test/decisions/limits/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Adaptive limits, and what they are fed with."""
+"""Adaptive limits, and the estimates from which they are computed."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -20,15 +20,15 @@
 
 
 def pass_interval(limit, interval):
-    limit.adjust(interval * concurrency.INTERVAL_S)
+    limit.adjust(interval * concurrency.ADJUST_INTERVAL_S)
 
 
 def test_limit_falls_while_requests_wait_at_the_engine(limit):
     pass_interval(limit, 1)
     before = limit.limit
-    limit.on_load(concurrency.MAX_WAITING + 1)
+    limit.on_load(concurrency.MAX_ENGINE_WAITING + 1)
     pass_interval(limit, 2)
-    assert_that(limit.limit, Equals(before * concurrency.DECREASE))
+    assert_that(limit.limit, Equals(before * concurrency.DECREASE_FACTOR))
 
 
 def test_limit_falls_while_every_first_token_is_late(limit):
@@ -64,10 +64,10 @@
     before = limit.limit
     for _ in range(20):
         limit.on_overload()
-        limit.adjust(1.5 * concurrency.INTERVAL_S)
+        limit.adjust(1.5 * concurrency.ADJUST_INTERVAL_S)
     assert_that(limit.limit, Equals(before))
     pass_interval(limit, 2)
-    assert_that(limit.limit, Equals(before * concurrency.DECREASE))
+    assert_that(limit.limit, Equals(before * concurrency.DECREASE_FACTOR))
 
 
 def test_maximum_over_all_nodes_holds_whatever_their_number(limit):
@@ -79,7 +79,7 @@
         assert_that(round(limit.limit * nodes, 6), Equals(18.0))
 
 
-def test_queueing_time_is_what_exceeds_the_least_time_of_a_length():
+def test_queueing_time_is_the_excess_over_the_minimum_of_a_length():
     estimator = queueing.QueueingEstimator()
     estimator.observe(1000, 0.25, 0.0)
     estimator.observe(100, 0.125, 0.0)
@@ -87,11 +87,11 @@
     assert_that(estimator.observe(100, 0.25, 1.0), Equals(0.125))
 
 
-def test_least_time_is_forgotten():
+def test_minimum_time_expires():
     estimator = queueing.QueueingEstimator()
     estimator.observe(1000, 0.25, 0.0)
-    later = 2 * queueing.MEMORY_S + 1.0
-    estimator.observe(1000, 1.0, queueing.MEMORY_S + 0.5)
+    later = 2 * queueing.MIN_RETENTION_S + 1.0
+    estimator.observe(1000, 1.0, queueing.MIN_RETENTION_S + 0.5)
     assert_that(estimator.observe(1000, 1.0, later), Equals(0.0))
 
 
@@ -103,29 +103,29 @@
     assert_that(abs(measured - 10.0), LessThan(1.0))
 
 
-def test_come_back_times_are_spread_by_the_rate():
-    times = throughput.ComeBackTimes(longest=30.0)
-    delays = [times.book("w", 4, 2.0, 0.0) for _ in range(3)]
+def test_retry_delays_are_spaced_by_the_rate():
+    times = throughput.RetrySchedule(max_delay_s=30.0)
+    delays = [times.schedule_retry("w", 4, 2.0, 0.0) for _ in range(3)]
     assert_that(delays, Equals([2.5, 3.0, 3.5]))
-    assert_that(times.book("other", 0, 2.0, 0.0), Equals(0.5))
+    assert_that(times.schedule_retry("other", 0, 2.0, 0.0), Equals(0.5))
 
 
-def test_come_back_time_is_bounded():
-    times = throughput.ComeBackTimes(longest=30.0)
+def test_retry_delay_is_bounded():
+    times = throughput.RetrySchedule(max_delay_s=30.0)
     for _ in range(1000):
-        delay = times.book("w", 100, 1.0, 0.0)
+        delay = times.schedule_retry("w", 100, 1.0, 0.0)
         assert_that(delay, LessThan(30.5))
 
 
-def test_wait_is_short_only_after_a_burst_that_did_not_end():
+def test_wait_is_shortened_only_while_saturation_outlasts_a_burst():
     state = saturation.Saturation()
     now = 0.0
     while now <= saturation.BURST_S + 1.0:
-        state.note(now)
+        state.record(now)
         now += 0.25
-    short = saturation.STANDING_WAIT * 2.0
+    short = saturation.SATURATED_WAIT_SHARE * 2.0
     assert_that(state.longest_wait(2.0, now), Equals(short))
-    now += saturation.GAP_S + 1.0
+    now += saturation.MAX_GAP_S + 1.0
     assert_that(state.longest_wait(2.0, now), Equals(2.0))
-    state.note(now)
+    state.record(now)
     assert_that(state.longest_wait(2.0, now), Equals(2.0))
--- a/test/decisions/limits/test_fairness.py
+++ b/test/decisions/limits/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fair shares of the queue."""
+"""Division of the queue by fair shares."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 from chervilrock.decisions.limits import fairness
 from chervilrock.decisions.routing import base
 
-MOST_COST = 500.0
+MAX_COST = 500.0
 
 
 def make_request(number, workspace, priority=5):
@@ -25,7 +25,7 @@
 
 @given(
     shares=st.lists(st.floats(0.5, 4.0), min_size=2, max_size=5),
-    costs=st.lists(st.floats(1.0, MOST_COST), min_size=50, max_size=100),
+    costs=st.lists(st.floats(1.0, MAX_COST), min_size=50, max_size=100),
 )
 def test_served_cost_follows_the_shares_while_all_wait(shares, costs):
     queue = fairness.FairQueue()
@@ -42,14 +42,14 @@
         assert entry is not None
         served[entry.request.workspace] += entry.cost
     per_share = [served[name] / share_of(name) for name in names]
-    # Start-time fair queueing is fair to within a request of each.
+    # Start-time fair queueing is fair to within one request per workspace.
     least = min(shares)
     assert_that(
-        max(per_share) - min(per_share), LessThan(2 * MOST_COST / least + 1)
+        max(per_share) - min(per_share), LessThan(2 * MAX_COST / least + 1)
     )
 
 
-def test_workspace_that_was_idle_saves_up_no_places(queue):
+def test_idle_workspace_accumulates_no_credit(queue):
     for number in range(40):
         queue.push(make_request(number, "busy"), 10.0, 0.0)
     for _ in range(20):
@@ -70,7 +70,7 @@
     assert_that(entry.request.request_id, Equals("2"))
 
 
-def test_workspace_that_may_not_run_is_passed_over(queue):
+def test_workspace_that_may_not_run_is_skipped(queue):
     queue.push(make_request(1, "a"), 1.0, 0.0)
     queue.push(make_request(2, "b"), 1.0, 0.0)
     entry = queue.pop(lambda name: 1.0, lambda name: name == "b")
--- a/test/decisions/limits/test_pool.py
+++ b/test/decisions/limits/test_pool.py
@@ -35,24 +35,24 @@
 
 
 def flood(pool, now):
-    """Let one workspace take all it can get, beside one that is active."""
+    """Fill the slots from one workspace beside another active one."""
     pool.usage.note_active("small", now)
     pool.usage.note_active("large", now)
     pool.usage.start("small", now)
-    while pool.has_place("large"):
+    while pool.has_slot("large"):
         pool.usage.start("large", now)
     pool.note_saturated(now)
 
 
-def test_groups_are_kept_for_those_within_their_share(pool):
+def test_groups_are_reserved_for_workspaces_within_their_share(pool):
     flood(pool, 0.0)
-    assert_that(pool.has_place("small"), Equals(True))
-    kept = pool.reserved_groups("large", 0.0)
-    assert_that(kept, HasLength(2))
+    assert_that(pool.has_slot("small"), Equals(True))
+    reserved = pool.reserved_groups("large", 0.0)
+    assert_that(reserved, HasLength(2))
     assert_that(pool.reserved_groups("small", 0.0), HasLength(0))
 
 
-def test_same_groups_are_kept_whatever_the_order(pool):
+def test_same_groups_are_reserved_in_any_order(pool):
     other = pools.Pool()
     other.set_groups(tuple(reversed(GROUPS)), 9, 256.0)
     flood(pool, 0.0)
@@ -63,19 +63,19 @@
     )
 
 
-def test_nothing_is_kept_while_there_is_room(pool):
+def test_no_group_is_reserved_without_saturation(pool):
     flood(pool, 0.0)
     assert_that(pool.reserved_groups("large", 60.0), HasLength(0))
 
 
-def test_workspace_that_is_alone_may_take_every_group(pool):
+def test_sole_workspace_may_use_every_group(pool):
     pool.usage.note_active("large", 0.0)
     pool.usage.start("large", 0.0)
     pool.note_saturated(0.0)
     assert_that(pool.reserved_groups("large", 0.0), HasLength(0))
 
 
-def test_priority_buys_nothing_from_those_within_their_share(pool):
+def test_priority_gains_nothing_over_workspaces_within_their_share(pool):
     flood(pool, 0.0)
     first = make_request(1, "large", priority=0)
     last = make_request(2, "small", priority=9, prompt_tokens=9000)
@@ -99,24 +99,26 @@
         request = make_request(
             1, workspace, priority=priority, prompt_tokens=tokens
         )
-        told = pool.engine_priority(request, 0.0)
-        assert_that(told in range(10), Equals(True))
+        sent = pool.engine_priority(request, 0.0)
+        assert_that(sent in range(10), Equals(True))
 
 
 def test_hedges_stop_when_they_do_not_win():
     hedges = hedging.Hedging()
     for _ in range(30):
         hedges.observe_hedge(False)
-    assert_that(hedges.pays(0.1, 0.0), Equals(True))
-    assert_that(hedges.pays(0.1, 1.0), Equals(False))
+    assert_that(hedges.is_worthwhile(0.1, 0.0), Equals(True))
+    assert_that(hedges.is_worthwhile(0.1, 1.0), Equals(False))
     for _ in range(30):
         hedges.observe_hedge(True)
-    assert_that(hedges.pays(0.1, 1.0), Equals(True))
+    assert_that(hedges.is_worthwhile(0.1, 1.0), Equals(True))
 
 
-def test_no_hedge_while_there_is_little_room():
+def test_no_hedge_above_the_load_limit():
     hedges = hedging.Hedging()
-    assert_that(hedges.pays(hedging.MAX_LOAD + 0.01, 0.0), Equals(False))
+    assert_that(
+        hedges.is_worthwhile(hedging.MAX_LOAD + 0.01, 0.0), Equals(False)
+    )
 
 
 def test_hedge_waits_longer_than_nearly_all_first_tokens():
