--- a/chervilrock/decisions/requests/__init__.py
+++ b/chervilrock/decisions/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about requests: attempts, outcomes, tickets and keys."""
+"""Request decisions: attempts, outcomes, tickets and idempotency keys."""
--- a/chervilrock/decisions/requests/attempts.py
+++ b/chervilrock/decisions/requests/attempts.py
@@ -1,8 +1,8 @@
-"""Sends of one request: which one counts, and what follows when it ends.
+"""Attempts and sends of one request, and what follows the end of a send.
 
 An *attempt* is one run of the request at a backend server. A *send* is one
-HTTP request; a stream that is resumed on its engine is a second send of the
-same attempt. Whatever carries the number of an older send is dropped.
+HTTP request; resuming a stream on its engine is a second send of the same
+attempt. Only the latest send counts: reports of older sends are ignored.
 """
 
 import enum
@@ -13,19 +13,19 @@
 from chervilrock.generated.interfaces import Outcome
 
 MAX_SENDS = 6
-"""Most sends for one request."""
+"""Maximum number of sends for one request."""
 
-MAX_RESUMES = 1
-"""Most resumes of one attempt that bring no further event."""
+MAX_RESUMES_WITHOUT_PROGRESS = 1
+"""Maximum number of consecutive resumes that yield no further event."""
 
 
 class SendMode(enum.StrEnum):
-    """What a send asks for.
+    """Which part of the answer a send requests.
 
     Attributes:
-      START: the answer from its beginning.
-      RESUME: the rest of the same attempt, from the engine that has it.
-      CONTINUE: the rest of the answer, from a group that has not seen it.
+      START: the whole answer.
+      RESUME: the rest of the same attempt, from the engine that runs it.
+      CONTINUE: the rest of the answer, from a group that has not run it.
     """
 
     START = "start"
@@ -37,11 +37,11 @@
     """One HTTP request to a backend server.
 
     Attributes:
-      number: counts the sends of this request from 1.
-      attempt: identity of the attempt, for the backend server.
+      number: sequence number among the sends of this request, from 1.
+      attempt: identifier of the attempt, for the backend server.
       target: name of the group, or address of the backend server.
-      mode: what is asked for.
-      after: events that the caller has already.
+      mode: which part of the answer is requested.
+      after: number of events that the caller already has.
     """
 
     number: int
@@ -52,11 +52,11 @@
 
 
 class Resume(NamedTuple):
-    """Ask the same engine for the rest.
+    """Resume the attempt on the same engine.
 
     Attributes:
-      target: group to ask.
-      after: events that the caller has already.
+      target: group that runs the attempt.
+      after: number of events that the caller already has.
     """
 
     target: str
@@ -64,11 +64,11 @@
 
 
 class TryElsewhere(NamedTuple):
-    """Start at another backend server; the caller has got nothing yet.
+    """Start at another backend server; the caller has received nothing yet.
 
     Attributes:
       exclude: targets of the attempts so far.
-      again: whether one of them will do when there is no other.
+      allow_excluded: whether to use one of them if no other is available.
     """
 
     exclude: frozenset[str]
@@ -76,12 +76,12 @@
 
 
 class ContinueElsewhere(NamedTuple):
-    """Go on at another group after the events that the caller has.
+    """Continue at another group after the events that the caller has.
 
     Attributes:
       exclude: targets of the attempts so far.
-      after: events that the caller has already.
-      again: whether one of them will do when there is no other.
+      after: number of events that the caller already has.
+      allow_excluded: whether to use one of them if no other is available.
     """
 
     exclude: frozenset[str]
@@ -90,22 +90,22 @@
 
 
 class Deliver(NamedTuple):
-    """The caller has, or now gets, its whole answer."""
+    """The caller has, or now receives, the whole answer."""
 
 
 class GiveUp(NamedTuple):
     """The caller gets an error.
 
     Attributes:
-      outcome: what is known of the request.
-      end: how its last attempt ended, None when there was none.
-      marked: whether a part of the answer is with the caller, so that the
-        error has to be marked within the stream.
+      outcome: what is known about the request.
+      end: how its last attempt ended, None if there was none.
+      mid_stream: whether the caller already has part of the answer, so that
+        the error has to be sent within the stream.
     """
 
     outcome: Outcome
     end: AttemptEnd | None
-    marked: bool
+    mid_stream: bool
 
 
 Decision = Resume | TryElsewhere | ContinueElsewhere | Deliver | GiveUp
@@ -117,9 +117,10 @@
     Attributes:
       number: number of the send.
       end: how it ended.
-      position: events that the caller has now.
-      target_holds: whether the group of the send still works on it.
-      continuable: whether the answer so far is one plain text.
+      position: number of events that the caller has now.
+      target_has_attempt: whether the group of the send still runs the
+        attempt.
+      continuable: whether the answer so far is a single plain text.
     """
 
     number: int
@@ -130,10 +131,10 @@
 
 
 class AttemptTracker:
-    """State of the sends of one request.
+    """Tracks the attempts and sends of one request.
 
     Attributes:
-      ends: how each attempt ended that is over.
+      ends: how each completed attempt ended, in order.
     """
 
     def __init__(
@@ -144,13 +145,13 @@
         deadline: float,
         max_sends: int = MAX_SENDS,
     ) -> None:
-        """Starts with nothing sent.
+        """Creates a tracker for a request that has not been sent.
 
         Args:
-          request_id: identity of the request.
-          idempotent: whether it may run more than once.
-          deadline: time in seconds after which nothing is sent any more.
-          max_sends: most sends.
+          request_id: identifier of the request.
+          idempotent: whether the request may run more than once.
+          deadline: time in seconds after which no further send is started.
+          max_sends: maximum number of sends.
         """
         self._request_id = request_id
         self._idempotent = idempotent
@@ -159,15 +160,15 @@
         self._send: Send | None = None
         self._sends = 0
         self._attempts = 0
-        self._resumes = 0
-        self._resumed_end: AttemptEnd | None = None
+        self._resumes_without_progress = 0
+        self._end_before_resume: AttemptEnd | None = None
         self._position = 0
         self._targets: set[str] = set()
         self.ends: list[AttemptEnd] = []
 
     @property
     def position(self) -> int:
-        """Events that the caller has, as last reported."""
+        """Number of events that the caller has, as last reported."""
         return self._position
 
     @property
@@ -176,25 +177,28 @@
         return self._sends
 
     def begin(self, target: str, mode: SendMode) -> Send:
-        """Takes note of a send that follows.
+        """Records the start of a send.
 
         Args:
-          target: where it goes.
-          mode: what it asks for; `START` for the first one.
+          target: name of the group, or address of the backend server.
+          mode: which part of the answer is requested; `START` for the first
+            send.
 
         Raises:
-          ValueError: a send is on its way already, or the mode does not fit
-            what the caller has.
+          ValueError: another send is in progress, or the mode does not match
+            the number of events that the caller has.
         """
         if self._send is not None:
-            raise ValueError("a send is on its way")
+            raise ValueError("another send is in progress")
         if (mode is SendMode.START) != (self._position == 0):
-            raise ValueError(f"{mode} does not fit {self._position} events")
+            raise ValueError(
+                f"{mode} is not valid after {self._position} events"
+            )
         self._sends += 1
         if mode is not SendMode.RESUME:
             self._attempts += 1
-            self._resumes = 0
-            self._resumed_end = None
+            self._resumes_without_progress = 0
+            self._end_before_resume = None
         self._targets.add(target)
         self._send = Send(
             number=self._sends,
@@ -206,18 +210,18 @@
         return self._send
 
     def is_current(self, number: int) -> bool:
-        """Tells whether a send is the one whose answer counts."""
+        """Returns whether a send is the latest one and still in progress."""
         return self._send is not None and self._send.number == number
 
     def finish(self, report: SendReport, now: float) -> Decision | None:
-        """Takes note of the end of a send and tells what follows.
+        """Records the end of a send and returns what follows.
 
         Args:
-          report: how it ended.
-          now: present time in seconds.
+          report: how the send ended.
+          now: current time in seconds.
 
         Returns:
-          What to do, or None when the report is of an older send.
+          What to do next, or None if the report is of an older send.
         """
         if not self.is_current(report.number):
             return None
@@ -234,15 +238,15 @@
         return self.give_up()
 
     def give_up(self) -> GiveUp:
-        """Ends the request with what is known of it."""
+        """Returns the final decision, with what is known about the request."""
         return GiveUp(
             outcome=outcomes.judge_outcome(self.ends),
             end=self.ends[-1] if self.ends else None,
-            marked=self._position > 0,
+            mid_stream=self._position > 0,
         )
 
     def _may_send(self, report: SendReport, now: float) -> bool:
-        """Tells whether a further send is allowed at all."""
+        """Returns whether a further send is allowed at all."""
         if now >= self._deadline or self._sends >= self._max_sends:
             return False
         if report.end is AttemptEnd.DENIED:
@@ -258,8 +262,10 @@
             self._record_end(report.end)
             return TryElsewhere(exclude, again)
         if self._may_resume(report, progress):
-            self._resumes = 0 if progress else self._resumes + 1
-            self._resumed_end = report.end
+            self._resumes_without_progress = (
+                0 if progress else self._resumes_without_progress + 1
+            )
+            self._end_before_resume = report.end
             return Resume(send.target, self._position)
         self._record_end(report.end)
         if report.continuable:
@@ -269,10 +275,14 @@
     def _record_end(self, end: AttemptEnd) -> None:
         """Records the end of an attempt, which may have had several sends.
 
-        A resume that was refused proves nothing of the send before it.
+        A rejected resume proves nothing about the previous send, so the end
+        of that send counts.
         """
-        if end in outcomes.PROVES_NOT_RUN and self._resumed_end is not None:
-            end = self._resumed_end
+        if (
+            end in outcomes.PROVES_NOT_RUN
+            and self._end_before_resume is not None
+        ):
+            end = self._end_before_resume
         self.ends.append(end)
 
     def _may_resume(self, report: SendReport, progress: bool) -> bool:
@@ -280,4 +290,7 @@
             return False
         if report.end not in (AttemptEnd.BROKEN, AttemptEnd.LOST):
             return False
-        return progress or self._resumes < MAX_RESUMES
+        return (
+            progress
+            or self._resumes_without_progress < MAX_RESUMES_WITHOUT_PROGRESS
+        )
--- a/chervilrock/decisions/requests/keyfold.py
+++ b/chervilrock/decisions/requests/keyfold.py
@@ -1,4 +1,4 @@
-"""The log's view of the keys that callers chose: the first claim wins."""
+"""Idempotency keys as recorded in the log, where the first claim wins."""
 
 import collections
 from typing import NamedTuple
@@ -12,22 +12,22 @@
 )
 
 MAX_KEYS = 50_000
-"""Most keys that a node remembers; the oldest are forgotten first."""
+"""Maximum number of keys that a node keeps; the oldest are evicted first."""
 
 
 class KeyName(NamedTuple):
-    """A key and whose it is."""
+    """An idempotency key within its workspace."""
 
     workspace: str
     key: str
 
 
 class KeyOwner(NamedTuple):
-    """What the log says of a key.
+    """Owner of a key according to the log.
 
     Attributes:
       writer: node and incarnation whose claim came first.
-      outcome: how its request ended, empty while that is not known.
+      outcome: how its request ended, empty while that is unknown.
     """
 
     writer: str
@@ -35,13 +35,13 @@
 
 
 class KeyFold:
-    """Keys as the log says, the first claim of each winning."""
+    """Owners of keys, folded from the records of the log."""
 
     def __init__(self, *, max_keys: int = MAX_KEYS) -> None:
-        """Starts without keys.
+        """Creates a fold without keys.
 
         Args:
-          max_keys: most keys that are remembered.
+          max_keys: maximum number of keys to keep.
         """
         self._max_keys = max_keys
         self._owners: collections.OrderedDict[KeyName, KeyOwner]
@@ -49,15 +49,15 @@
         self._seen = records.SeenRecords()
 
     def __len__(self) -> int:
-        """Returns the number of keys that are remembered."""
+        """Returns the number of keys that are kept."""
         return len(self._owners)
 
     def find(self, name: KeyName) -> KeyOwner | None:
-        """Returns whose key it is, None when nobody claimed it."""
+        """Returns the owner of a key, None if it has not been claimed."""
         return self._owners.get(name)
 
     def apply(self, stored: StoredRecord) -> bool:
-        """Takes the next record; False when it changes nothing."""
+        """Applies the next record and returns whether it changed a key."""
         record = stored.record
         if not self._seen.add(record.record_id):
             return False
--- a/chervilrock/decisions/requests/keys.py
+++ b/chervilrock/decisions/requests/keys.py
@@ -1,8 +1,8 @@
-"""Keys that callers choose, so that a request runs at most once for a key.
+"""Idempotency keys: a request runs at most once for a key of the caller.
 
-A node claims a key in the log before it sends the request, and sends it only
-after it has read its claim back as the first one. The window of this promise
-is what the log keeps: a key whose claim was trimmed counts as new.
+A node claims a key in the log before it sends the request, and sends the
+request only after it has read its claim back as the first one. The guarantee
+covers the retention of the log: a key whose claim was trimmed counts as new.
 """
 
 import enum
@@ -19,24 +19,24 @@
 )
 
 CLAIM_WAIT_S = 2.0
-"""Longest time to wait for a claim to be read back."""
+"""Maximum time to wait for a claim to be read back."""
 
 MAX_BATCH = 200
-"""Most records of one append."""
+"""Maximum number of records in one append."""
 
 COMPLETE = "complete"
-"""Outcome in the log of a request that got its whole answer."""
+"""Outcome in the log for a request that received its whole answer."""
 
 
 class KeyVerdict(enum.StrEnum):
-    """What became of a claim.
+    """Result of a claim.
 
     Attributes:
-      WAIT: it is not decided yet.
-      DISPATCH: it came first; the request may be sent, once.
-      TAKEN: another claim came first; the request may have run.
+      WAIT: the claim is undecided.
+      DISPATCH: the claim came first; the request may be sent once.
+      TAKEN: another claim came first; its request may have run.
       FAILED: another claim came first; its request ended without an answer.
-      NOT_RUN: it was given up; the request will not be sent for it.
+      NOT_RUN: the claim was given up; the request will not be sent for it.
     """
 
     WAIT = "wait"
@@ -47,26 +47,26 @@
 
 
 class KeyDecision(NamedTuple):
-    """What became of the claim of a key."""
+    """Result of the claim of a key."""
 
     name: KeyName
     verdict: KeyVerdict
 
 
 class _Claim(NamedTuple):
-    """A claim of this node that is not decided yet."""
+    """An undecided claim of this node."""
 
     record: Record
-    since: float
+    claimed_at: float
 
 
 class KeyClaims:
-    """The claims of one incarnation of a node.
+    """The claims of keys by one incarnation of a node.
 
-    The owner appends what `take_batch` gives as one batch and reports how
-    that went, hands in every record that it reads, and calls `expire` now
-    and then. Claims that come while a batch is on its way go into the next
-    one together.
+    The owner appends the records from `start_batch` as one batch and reports
+    the result to `record_appended`, passes every record that it reads to
+    `apply_record`, and calls `expire` periodically. Claims that are made while
+    a batch is in flight go into the next batch together.
     """
 
     def __init__(
@@ -76,92 +76,95 @@
         fold: KeyFold | None = None,
         wait_s: float = CLAIM_WAIT_S,
     ) -> None:
-        """Starts without claims.
+        """Creates an instance without claims.
 
         Args:
-          writer: gives records their identity; no other part may use it.
-          fold: keys as the log says.
-          wait_s: longest time to wait for a claim to be read back.
+          writer: assigns the record ids; nothing else may use it.
+          fold: owners of keys according to the log.
+          wait_s: maximum time to wait for a claim to be read back, in seconds.
         """
         self._writer = writer
         self._fold = fold or KeyFold()
         self._wait_s = wait_s
-        self._open: dict[KeyName, _Claim] = {}
+        self._undecided: dict[KeyName, _Claim] = {}
         self._given_up: set[KeyName] = set()
         self._queue: list[Record] = []
         self._batch: tuple[Record, ...] = ()
-        self._tried = 0
-        self._failing = False
+        self._max_appended_sequence = 0
+        self._append_failing = False
 
     @property
     def open_claims(self) -> int:
-        """Number of claims that are not decided yet."""
-        return len(self._open)
+        """Number of undecided claims."""
+        return len(self._undecided)
 
     def claim(self, name: KeyName, now: float) -> KeyVerdict:
-        """Begins to claim a key, unless that is decided already.
+        """Starts to claim a key, unless the log already decides the claim.
 
         Args:
           name: the key.
-          now: present time.
+          now: current time in seconds.
 
         Returns:
-          `WAIT` when a later call of `take_record` or `expire` decides.
+          The result; `WAIT` if a later call of `apply_record` or `expire`
+          decides.
         """
-        if name in self._open:
+        if name in self._undecided:
             return KeyVerdict.WAIT
         owner = self._fold.find(name)
         if owner is not None and name not in self._given_up:
             verdict = judge_owner(owner)
             if verdict is not KeyVerdict.WAIT:
                 return verdict
-        if self._failing and (self._queue or self._batch):
-            # What waits already shows when the log works again.
+        if self._append_failing and (self._queue or self._batch):
+            # The pending records show when appends succeed again.
             return KeyVerdict.NOT_RUN
         body = KeyClaimed(name.key, name.workspace, self._writer.writer)
         record = self._writer.prepare(body)
-        self._open[name] = _Claim(record, now)
+        self._undecided[name] = _Claim(record, now)
         self._queue.append(record)
         return KeyVerdict.WAIT
 
     def finish(self, name: KeyName, outcome: str) -> None:
-        """Tells the log how a request that was dispatched has ended.
+        """Queues a record of the outcome of a dispatched request.
 
         Args:
-          name: its key.
+          name: key of the request.
           outcome: `COMPLETE` or a value of `Outcome`.
         """
         body = KeyFinished(name.key, name.workspace, outcome)
         self._queue.append(self._writer.prepare(body))
 
     def take_batch(self) -> tuple[Record, ...]:
-        """Returns the records to append next, empty when there are none.
+        """Returns the records to append next, empty if there are none.
 
-        Nothing is returned while a batch is on its way.
+        Nothing is returned while a batch is in flight.
         """
         if self._batch or not self._queue:
             return ()
         self._batch = tuple(self._queue[:MAX_BATCH])
         del self._queue[:MAX_BATCH]
-        self._tried = max(self._tried, self._batch[-1].record_id.sequence)
+        self._max_appended_sequence = max(
+            self._max_appended_sequence, self._batch[-1].record_id.sequence
+        )
         return self._batch
 
     def note_appended(self, *, ok: bool) -> None:
-        """Takes note of the end of an append; a failed one is repeated.
+        """Records the result of an append; a failed batch is queued again.
 
-        Records keep their identity and order, so that a batch which took
-        effect although its answer was lost does no harm.
+        Records keep their ids and order, so retrying a batch that was stored
+        although its acknowledgement was lost is harmless.
         """
-        self._failing = not ok
+        self._append_failing = not ok
         if not ok:
             self._queue[:0] = self._batch
         self._batch = ()
 
     def take_record(self, stored: StoredRecord) -> KeyDecision | None:
-        """Takes a record that was read, in order.
+        """Applies a record read from the log; records must come in order.
 
         Returns:
-          What became of a claim that waited, or None.
+          The result of a claim that this record decides, or None.
         """
         accepted = self._fold.apply(stored)
         body = records.decode_body(stored.record)
@@ -170,32 +173,32 @@
         if not isinstance(body, KeyClaimed):
             return None
         name = KeyName(body.workspace, body.key)
-        waiting = self._open.get(name)
-        if waiting is None:
+        claim = self._undecided.get(name)
+        if claim is None:
             return None
-        if stored.record.record_id != waiting.record.record_id:
+        if stored.record.record_id != claim.record.record_id:
             return None
         if not accepted:
-            return self._lose(name)
-        del self._open[name]
+            return self._decide_lost_claim(name)
+        del self._undecided[name]
         return KeyDecision(name, KeyVerdict.DISPATCH)
 
     def expire(self, now: float) -> tuple[KeyDecision, ...]:
-        """Gives up claims that have waited too long, as in an outage."""
-        late = [
+        """Gives up claims that have waited too long, such as in an outage."""
+        overdue = [
             name
-            for name, claim in self._open.items()
-            if now - claim.since >= self._wait_s
+            for name, claim in self._undecided.items()
+            if now - claim.claimed_at >= self._wait_s
         ]
-        return tuple(self._give_up(name) for name in late)
+        return tuple(self._give_up(name) for name in overdue)
 
     def _note_finished(self, name: KeyName, stored: StoredRecord) -> None:
         if stored.record.record_id.writer == self._writer.writer:
             self._given_up.discard(name)
 
-    def _lose(self, name: KeyName) -> KeyDecision:
-        """Ends a claim that came second."""
-        del self._open[name]
+    def _decide_lost_claim(self, name: KeyName) -> KeyDecision:
+        """Removes a claim that did not come first, and returns its result."""
+        del self._undecided[name]
         owner = self._fold.find(name)
         verdict = KeyVerdict.TAKEN if owner is None else judge_owner(owner)
         if verdict is KeyVerdict.WAIT:
@@ -203,26 +206,26 @@
         return KeyDecision(name, verdict)
 
     def _give_up(self, name: KeyName) -> KeyDecision:
-        """Ends a claim for which nothing will be sent any more.
+        """Removes a claim for which the request will no longer be sent.
 
-        A claim that was tried may stand in the log or may still get there. A
-        record that frees the key follows it, and the fold drops the claim
-        when it comes after that one.
+        A claim that was part of an append may be in the log or may still
+        arrive there. A record that releases the key follows it, and the fold
+        ignores the claim if it arrives after that record.
         """
-        claim = self._open.pop(name)
+        claim = self._undecided.pop(name)
         if claim.record in self._queue:
             self._queue.remove(claim.record)
-        if claim.record.record_id.sequence <= self._tried:
+        if claim.record.record_id.sequence <= self._max_appended_sequence:
             self._given_up.add(name)
             self.finish(name, Outcome.NOT_RUN)
         return KeyDecision(name, KeyVerdict.NOT_RUN)
 
 
 def judge_owner(owner: KeyOwner) -> KeyVerdict:
-    """Tells what a claim of a key that has an owner would come to.
+    """Returns the result of a claim of a key that already has an owner.
 
     Returns:
-      `WAIT` when the owner gave the key up, so that it can be claimed.
+      `WAIT` if the owner released the key, so that it can be claimed.
     """
     if owner.outcome == Outcome.NOT_RUN:
         return KeyVerdict.WAIT
--- a/chervilrock/decisions/requests/memory.py
+++ b/chervilrock/decisions/requests/memory.py
@@ -1,4 +1,4 @@
-"""What a node remembers of the requests that it ran only once."""
+"""Registry of the requests that a node runs at most once, and their answers."""
 
 import collections
 from collections.abc import Hashable, Iterator
@@ -10,10 +10,10 @@
 from chervilrock.generated.interfaces import Outcome
 
 MAX_ANSWER_BYTES = 512 * 1024
-"""Greatest answer that is kept for repeats."""
+"""Size of the largest answer that is kept for replay."""
 
 MAX_TOTAL_BYTES = 8 * 1024 * 1024
-"""Most bytes of answers that are kept for repeats."""
+"""Maximum total size of the answers that are kept for replay."""
 
 Name = TypeVar("Name", bound=Hashable)
 
@@ -21,18 +21,18 @@
 def make_fingerprint(
     workspace: str, method: str, target: str, body: bytes
 ) -> int:
-    """Returns a number that tells two requests of callers apart."""
+    """Returns a hash that identifies the content of a caller's request."""
     head = f"{workspace}\0{method}\0{target}\0{len(body)}\0"
     return xxhash.xxh3_128_intdigest(head.encode() + body)
 
 
 class RecordedAnswer(NamedTuple):
-    """A whole answer that is kept for repeats.
+    """A whole answer that is kept for replay.
 
     Attributes:
       status: HTTP status.
       headers: names and values of the headers.
-      body: body.
+      body: body of the answer.
       events: whether the body is a stream of events.
     """
 
@@ -43,14 +43,15 @@
 
 
 class ClaimKind(enum.StrEnum):
-    """What to do with a request that runs only once.
+    """How to handle a request that may run only once.
 
     Attributes:
-      RUN: run it; it has never run.
+      RUN: run it; it has not run before.
       JOIN: wait for the run that is in progress.
-      REPLAY: answer as that run ended.
-      FORGOTTEN: it may have run.
-      MISMATCH: it differs from the request that ran; this one has not run.
+      REPLAY: replay the result of the earlier run.
+      FORGOTTEN: it may have run, but its result is no longer known.
+      MISMATCH: it differs from the request that ran under the same name; this
+        one has not run.
     """
 
     RUN = "run"
@@ -61,13 +62,13 @@
 
 
 class Claim(NamedTuple):
-    """What to do with a request that runs only once.
+    """How to handle a request that may run only once, with any known result.
 
     Attributes:
-      kind: what to do.
-      answer: the whole answer of an earlier run, None when it got none or it
-        is kept no longer.
-      outcome: what is known of an earlier run without a kept answer.
+      kind: how to handle the request.
+      answer: the whole answer of an earlier run, None if there was none or it
+        is no longer kept.
+      outcome: what is known about an earlier run without a kept answer.
     """
 
     kind: ClaimKind
@@ -76,7 +77,7 @@
 
 
 class _Entry:
-    """One request that runs or ran."""
+    """A request that is running or has run."""
 
     __slots__ = ("answer", "fingerprint", "outcome", "running")
 
@@ -88,10 +89,10 @@
 
 
 class RunMemory(Generic[Name]):
-    """Requests by the name under which they run once.
+    """Requests that run at most once, by name, with their results.
 
-    The bytes of the answers are bounded: the oldest ones are dropped first.
-    The number of entries is for the owner to bound.
+    The total size of the answers is bounded: the oldest ones are dropped
+    first. The owner has to bound the number of entries.
     """
 
     def __init__(
@@ -100,36 +101,36 @@
         max_answer_bytes: int = MAX_ANSWER_BYTES,
         max_total_bytes: int = MAX_TOTAL_BYTES,
     ) -> None:
-        """Starts with nothing.
+        """Creates an empty registry.
 
         Args:
-          max_answer_bytes: greatest answer that is kept.
-          max_total_bytes: most bytes of answers that are kept.
+          max_answer_bytes: size of the largest answer that is kept.
+          max_total_bytes: maximum total size of the answers that are kept.
         """
         self._max_answer_bytes = max_answer_bytes
         self._max_total_bytes = max_total_bytes
         self._entries: dict[Name, _Entry] = {}
-        self._kept: collections.OrderedDict[Name, int]
-        self._kept = collections.OrderedDict()
+        self._answer_sizes: collections.OrderedDict[Name, int]
+        self._answer_sizes = collections.OrderedDict()
         self._total_bytes = 0
 
     def __len__(self) -> int:
-        """Returns the number of requests that are remembered."""
+        """Returns the number of entries."""
         return len(self._entries)
 
     @property
     def total_bytes(self) -> int:
-        """Bytes of the answers that are kept."""
+        """Total size of the answers that are kept, in bytes."""
         return self._total_bytes
 
     def list_ended(self) -> Iterator[Name]:
-        """Goes through the requests that run no more, oldest first."""
+        """Yields the names of completed requests, oldest first."""
         for name, entry in self._entries.items():
             if not entry.running:
                 yield name
 
     def find(self, name: Name, fingerprint: int) -> Claim | None:
-        """Returns what to do with a repeat, None when there is no entry."""
+        """Returns how to handle a request, None if its name has no entry."""
         entry = self._entries.get(name)
         if entry is None:
             return None
@@ -140,7 +141,7 @@
         return Claim(ClaimKind.REPLAY, entry.answer, entry.outcome)
 
     def start(self, name: Name, fingerprint: int) -> None:
-        """Takes note of a request that runs from now on."""
+        """Records the start of a run."""
         self._entries[name] = _Entry(fingerprint=fingerprint)
 
     def finish(
@@ -150,14 +151,14 @@
         outcome: Outcome,
         answer: RecordedAnswer | None = None,
     ) -> None:
-        """Takes note of the end of a run.
+        """Records the result of a run.
 
         Args:
           name: name of the request.
-          outcome: what is known of a run without a whole answer. After
+          outcome: what is known about a run without a whole answer. After
             `not_run` the name can be used again.
-          answer: the whole answer, None when there is none or it is too
-            large to keep.
+          answer: the whole answer, None if there is none or it is too large
+            to keep.
         """
         entry = self._entries.get(name)
         if entry is None:
@@ -168,26 +169,28 @@
         entry.running = False
         entry.outcome = Outcome.UNKNOWN if answer is not None else outcome
         if answer is not None:
-            self._keep(name, entry, answer)
+            self._store_answer(name, entry, answer)
 
     def forget(self, name: Name) -> None:
-        """Drops a request."""
+        """Removes a request and its answer."""
         self._drop_answer(name)
         self._entries.pop(name, None)
 
-    def _keep(self, name: Name, entry: _Entry, answer: RecordedAnswer) -> None:
-        """Keeps an answer, and drops older ones when there are too many."""
+    def _store_answer(
+        self, name: Name, entry: _Entry, answer: RecordedAnswer
+    ) -> None:
+        """Stores an answer, and drops the oldest ones above the bound."""
         size = len(answer.body)
         if size > self._max_answer_bytes:
             return
         entry.answer = answer
-        self._kept[name] = size
+        self._answer_sizes[name] = size
         self._total_bytes += size
         while self._total_bytes > self._max_total_bytes:
-            self._drop_answer(next(iter(self._kept)))
+            self._drop_answer(next(iter(self._answer_sizes)))
 
     def _drop_answer(self, name: Name) -> None:
-        size = self._kept.pop(name, None)
+        size = self._answer_sizes.pop(name, None)
         if size is not None:
             self._total_bytes -= size
             self._entries[name].answer = None
--- a/chervilrock/decisions/requests/outcomes.py
+++ b/chervilrock/decisions/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""What may be said of a request, given how its attempts ended."""
+"""Outcome of a request, derived from how its attempts ended."""
 
 from collections.abc import Iterable
 import enum
@@ -9,7 +9,7 @@
 STATUS_TOO_MANY_REQUESTS = 429
 STATUS_UNAVAILABLE = 503
 REFUSAL_CODES = frozenset({"not_leader", "unknown_attempt"})
-"""Codes with which an engine says that it holds nothing to run."""
+"""Error codes with which an engine reports that it did not run a request."""
 
 _SUCCESSES = range(200, 300)
 _SERVER_ERRORS = range(500, 600)
@@ -19,16 +19,16 @@
     """How one attempt to get an answer from a backend server ended.
 
     Attributes:
-      NOT_SENT: no byte of the request left, since no connection was made.
+      NOT_SENT: no byte of the request was sent, since no connection was made.
       REFUSED: the backend server proved that it has not run the request and
-        will not.
-      LOST: a byte may have left, and no answer came.
-      DENIED: the backend server answered that the request itself is wrong.
-      ERROR: the backend server answered with an error of its own that does
-        not prove that nothing ran.
-      BROKEN: a part of the answer came and then no more.
-      FOREIGN: what came was not the answer to this attempt.
-      COMPLETE: the whole answer came.
+        will not run it.
+      LOST: part of the request may have been sent, and no answer arrived.
+      DENIED: the backend server answered that the request is invalid.
+      ERROR: the backend server answered with a server error that does not
+        prove that nothing ran.
+      BROKEN: the answer broke off after a part of it.
+      FOREIGN: the received data was not the answer to this attempt.
+      COMPLETE: the whole answer arrived.
     """
 
     NOT_SENT = "not_sent"
@@ -42,26 +42,26 @@
 
 
 PROVES_NOT_RUN = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.REFUSED})
-"""Ends after which the attempt surely did not run."""
+"""Ends that prove that the attempt did not run."""
 
 PROVES_ENDED = frozenset(
     {AttemptEnd.DENIED, AttemptEnd.ERROR, AttemptEnd.BROKEN}
 )
-"""Ends after which the attempt surely began, and gives no whole answer."""
+"""Ends that prove that the attempt began and gives no whole answer."""
 
 
 def judge_outcome(ends: Iterable[AttemptEnd]) -> Outcome:
-    """Tells what is known of a request that got no whole answer.
+    """Returns what is known about a request that got no whole answer.
 
-    One attempt that may have run is enough to rule out `not_run`, whatever
-    later attempts proved of themselves.
+    A single attempt that may have run rules out `not_run`, even if later
+    attempts provably did not run.
 
     Args:
-      ends: how its attempts ended; none when it was never sent.
+      ends: how its attempts ended; empty if it was never sent.
 
     Returns:
-      `not_run` only when every attempt is proved not to have run, `unknown`
-      when one may run or have run to its end unseen, else `failed`.
+      `not_run` only if every attempt provably did not run, `unknown` if an
+      attempt may still run or may have completed unobserved, else `failed`.
     """
     possible = [end for end in ends if end not in PROVES_NOT_RUN]
     if not possible:
@@ -72,13 +72,13 @@
 
 
 def judge_sends(end: AttemptEnd, *, repeated: bool) -> AttemptEnd:
-    """Tells how an attempt ended whose request may have been sent twice.
+    """Returns how an attempt ended whose request may have been sent twice.
 
-    A refusal proves nothing of an earlier send of the same attempt.
+    A rejection proves nothing about an earlier send of the same attempt.
 
     Args:
       end: how the last send ended.
-      repeated: whether there was an earlier one.
+      repeated: whether there was an earlier send.
     """
     if repeated and end in PROVES_NOT_RUN:
         return AttemptEnd.LOST
@@ -88,16 +88,16 @@
 def judge_engine_answer(
     status: int, *, not_run_header: bool, code: str
 ) -> AttemptEnd:
-    """Tells how an attempt ended from the answer of an engine.
+    """Returns how an attempt ended, from the answer of an engine.
 
     Args:
       status: HTTP status of the answer.
       not_run_header: whether the answer carries `X-Not-Run: true`.
-      code: code of the error in the body, empty when there is none.
+      code: error code in the body, empty if there is none.
 
     Returns:
-      `COMPLETE` for a success, `REFUSED` for the answers that prove that
-      nothing ran, else `ERROR` or `DENIED`.
+      `COMPLETE` for a success, `REFUSED` for answers that prove that nothing
+      ran, else `ERROR` or `DENIED`.
     """
     if status in _SUCCESSES:
         return AttemptEnd.COMPLETE
@@ -113,10 +113,10 @@
 
 
 def judge_service_answer(status: int, *, not_run_header: bool) -> AttemptEnd:
-    """Tells how an attempt ended from the answer of a plain service.
+    """Returns how an attempt ended, from the answer of a plain service.
 
-    The answer of a plain service is passed on whatever its status is, since
-    only the caller knows what it means. The one exception is an answer that
+    The answer of a plain service is forwarded whatever its status is, since
+    only the caller knows what it means. The only exception is an answer that
     proves that nothing ran.
 
     Args:
--- a/chervilrock/decisions/requests/positions.py
+++ b/chervilrock/decisions/requests/positions.py
@@ -1,34 +1,33 @@
-"""Places of the events in one streamed answer.
+"""Sequence numbers of the events in one streamed answer.
 
-An engine starts each event with `id: REQUEST/N` and its data. Only the event
-that is next for the caller is passed on: doubled events and those of other
-requests are dropped, and events that came too early wait for those before
-them.
+An engine starts each event with `id: REQUEST/N`, followed by its data. Events
+are forwarded to the caller in order: duplicates and events of other requests
+are dropped, and early events are buffered until the missing ones arrive.
 """
 
 import enum
 
 EVENT_END = b"\n\n"
 DONE_END = b"data: [DONE]\n\n"
-MAX_EARLY = 64
-"""Most events that wait for an earlier one."""
+MAX_EARLY_EVENTS = 64
+"""Maximum number of events beyond the last forwarded one to buffer."""
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Greatest event; a longer one breaks the answer."""
+"""Maximum size of one event; a longer event stops the stream."""
 
 _ID_START = b"id: "
 _ERROR_LINE = b"event: error\n"
-_IMPOSSIBLE = b"\0"
+_MATCHES_NO_EVENT = b"\0"
 _MAX_DIGITS = 18
 
 
 class StreamFault(enum.StrEnum):
-    """Why what comes cannot become the rest of the answer.
+    """Why a stream cannot supply the rest of the answer.
 
     Attributes:
-      RESTARTED: the engine began again instead of going on.
-      GAP: too many events came before the one that is next.
-      TOO_LARGE: an event is greater than the bound.
+      RESTARTED: the engine restarted the answer instead of continuing it.
+      GAP: an event came too far ahead of the next expected one.
+      TOO_LARGE: an event exceeds the size limit.
       ENGINE_ERROR: the engine ended the stream with an error event.
     """
 
@@ -39,126 +38,129 @@
 
 
 class StreamPositions:
-    """Lets each event of an answer through once and in order.
+    """Forwards each event of an answer once and in order.
 
     One instance reads the stream of one send. Most chunks hold exactly the
-    event that is next, which costs one comparison of its start.
+    next event, which is recognised by comparing its start.
 
     Attributes:
-      position: number of the last event let through, from 1.
-      done: whether the last event of the answer was let through.
-      fault: why no more events can be let through, or None.
-      doubled: events dropped since they had come before.
-      foreign: events dropped since they belong to no part of this answer.
+      position: number of the last event forwarded, from 1.
+      done: whether the last event of the answer was forwarded.
+      fault: why no more events can be forwarded, or None.
+      duplicates: number of events dropped because they had arrived before.
+      foreign: number of events dropped because they do not belong to this
+        answer.
     """
 
     __slots__ = (
         "_after",
-        "_early",
-        "_expected",
+        "_early_events",
+        "_expected_start",
         "_pending",
         "_request",
         "done",
-        "doubled",
+        "duplicates",
         "fault",
         "foreign",
         "position",
     )
 
     def __init__(self, *, request_id: str, after: int = 0) -> None:
-        """Starts at a place of the answer.
+        """Creates a reader that starts at a position in the answer.
 
         Args:
-          request_id: identity of the request, as the engine repeats it.
-          after: number of events that the caller has already.
+          request_id: identifier of the request, as the engine echoes it.
+          after: number of events that the caller already has.
         """
         self._request = request_id.encode()
         self._after = after
         self._pending = b""
-        self._early: dict[int, bytes] = {}
+        self._early_events: dict[int, bytes] = {}
         self.position = after
         self.done = False
         self.fault: StreamFault | None = None
-        self.doubled = 0
+        self.duplicates = 0
         self.foreign = 0
-        self._expected = self._format_start(after + 1)
+        self._expected_start = self._format_start(after + 1)
 
     def feed(self, chunk: bytes) -> bytes:
-        """Takes bytes of the stream as they come.
+        """Reads the next bytes of the stream.
 
         Args:
-          chunk: bytes from the engine, cut anywhere.
+          chunk: bytes from the engine, split at any position.
 
         Returns:
-          Whole events that are next for the caller, often `chunk` itself.
+          The next whole events for the caller, often `chunk` itself.
         """
         if (
-            chunk.startswith(self._expected)
+            chunk.startswith(self._expected_start)
             and not self._pending
-            and not self._early
+            and not self._early_events
             and chunk.find(EVENT_END) == len(chunk) - len(EVENT_END)
         ):
             self._advance(chunk)
             return chunk
-        return self._feed_slowly(chunk)
+        return self._feed_buffered(chunk)
 
-    def _feed_slowly(self, chunk: bytes) -> bytes:
+    def _feed_buffered(self, chunk: bytes) -> bytes:
         if self.done or self.fault:
             return b""
         events = (self._pending + chunk).split(EVENT_END)
         self._pending = events.pop()
         if len(self._pending) > MAX_EVENT_BYTES:
             self._stop(StreamFault.TOO_LARGE)
-        passed: list[bytes] = []
+        forwarded: list[bytes] = []
         for event in events:
-            self._take_event(event + EVENT_END, passed)
-        return b"".join(passed)
+            self._handle_event(event + EVENT_END, forwarded)
+        return b"".join(forwarded)
 
-    def _take_event(self, event: bytes, passed: list[bytes]) -> None:
+    def _handle_event(self, event: bytes, forwarded: list[bytes]) -> None:
         if self.done or self.fault:
             return
-        if not event.startswith(self._expected):
-            self._take_other(event)
+        if not event.startswith(self._expected_start):
+            self._handle_unexpected_event(event)
             return
         self._advance(event)
-        passed.append(event)
-        while (early := self._early.pop(self.position + 1, None)) is not None:
+        forwarded.append(event)
+        while (
+            early := self._early_events.pop(self.position + 1, None)
+        ) is not None:
             self._advance(early)
-            passed.append(early)
+            forwarded.append(early)
 
-    def _take_other(self, event: bytes) -> None:
-        """Takes an event that is not the next one."""
+    def _handle_unexpected_event(self, event: bytes) -> None:
+        """Handles an event that does not start as the next one does."""
         number = self._parse_number(event)
         if event.startswith(_ERROR_LINE):
             self._stop(StreamFault.ENGINE_ERROR)
         elif number is None:
             self.foreign += 1
         elif number == self.position + 1:
-            self._take_odd(event)
+            self._handle_event_without_data(event)
         elif number > self.position:
-            self._keep_early(number, event)
+            self._buffer_early_event(number, event)
         elif self.position == self._after:
             self._stop(StreamFault.RESTARTED)
         else:
-            self.doubled += 1
+            self.duplicates += 1
 
-    def _take_odd(self, event: bytes) -> None:
-        """Takes the event that is next but does not begin with its data."""
+    def _handle_event_without_data(self, event: bytes) -> None:
+        """Handles the next event if it does not start with its data."""
         if b"\n" + _ERROR_LINE in event:
             self._stop(StreamFault.ENGINE_ERROR)
         else:
             self.foreign += 1
 
-    def _keep_early(self, number: int, event: bytes) -> None:
-        if number > self.position + MAX_EARLY:
+    def _buffer_early_event(self, number: int, event: bytes) -> None:
+        if number > self.position + MAX_EARLY_EVENTS:
             self._stop(StreamFault.GAP)
             return
-        if number in self._early:
-            self.doubled += 1
-        self._early[number] = event
+        if number in self._early_events:
+            self.duplicates += 1
+        self._early_events[number] = event
 
     def _parse_number(self, event: bytes) -> int | None:
-        """Returns the number of an event of this request, else None."""
+        """Returns the number of an event, None if it is not of this request."""
         if not event.startswith(_ID_START):
             return None
         line = event[len(_ID_START) : event.index(b"\n")]
@@ -176,12 +178,12 @@
         self.position += 1
         if event.endswith(DONE_END):
             self.done = True
-            self._expected = _IMPOSSIBLE
+            self._expected_start = _MATCHES_NO_EVENT
         else:
-            self._expected = self._format_start(self.position + 1)
+            self._expected_start = self._format_start(self.position + 1)
 
     def _stop(self, fault: StreamFault) -> None:
         self.fault = fault
-        self._expected = _IMPOSSIBLE
-        self._early.clear()
+        self._expected_start = _MATCHES_NO_EVENT
+        self._early_events.clear()
         self._pending = b""
--- a/chervilrock/decisions/requests/tickets.py
+++ b/chervilrock/decisions/requests/tickets.py
@@ -1,9 +1,9 @@
-"""Tickets, with which a caller repeats a request that may run only once.
+"""Tickets that let a caller safely retry a request that may run only once.
 
-A ticket names the incarnation of the node that minted it and a sequence
-number. Only that incarnation runs a request with it, and it remembers what
-became of it. What it may have forgotten, or what minted it and is gone, may
-have run, so that the request is not run again.
+A ticket holds the incarnation of the node that minted it and a sequence
+number. Only that incarnation runs a request with the ticket, and it keeps the
+result. If the incarnation is gone or may have dropped the result, the request
+may have run, so it is not run again.
 """
 
 import collections
@@ -18,25 +18,25 @@
 from chervilrock.generated.interfaces import Outcome
 
 TICKET_LIFE_S = 600.0
-"""Time for which a ticket can be used after it was minted."""
+"""Time for which a ticket is valid after it was minted."""
 
 MAX_ENTRIES = 20_000
-"""Most tickets that are remembered one by one."""
+"""Maximum number of tickets with an entry of their own."""
 
 _PREFIX = "tk"
 _SEPARATOR = "."
 _MAX_DIGITS = 15
 _MARK_INTERVAL_S = 1.0
-_FORGET_SHARE = 10
-"""One of so many runs that ended is forgotten at once for lack of room."""
+_EVICTION_DIVISOR = 10
+"""When the table is full, one in this many completed runs is evicted."""
 
 
 class TicketId(NamedTuple):
-    """Identity of a ticket.
+    """Identifier of a ticket.
 
     Attributes:
-      incarnation: name of the run of the node that minted it.
-      sequence: number among its tickets, from 1.
+      incarnation: incarnation of the node that minted the ticket.
+      sequence: sequence number among the tickets of that incarnation, from 1.
     """
 
     incarnation: str
@@ -44,13 +44,13 @@
 
 
 def format_ticket(ticket: TicketId) -> str:
-    """Returns a ticket as callers carry it."""
+    """Returns the text of a ticket, as callers send it."""
     parts = (_PREFIX, ticket.incarnation, str(ticket.sequence))
     return _SEPARATOR.join(parts)
 
 
 def parse_ticket(text: str) -> TicketId | None:
-    """Reads a ticket, or returns None when the text is a key of a caller."""
+    """Parses a ticket; returns None if the text is a key of a caller."""
     prefix, _, rest = text.partition(_SEPARATOR)
     incarnation, _, number = rest.rpartition(_SEPARATOR)
     if prefix != _PREFIX or not incarnation:
@@ -63,7 +63,7 @@
 
 
 class _Mark(NamedTuple):
-    """The last ticket that was minted in an interval."""
+    """The last ticket minted within an interval."""
 
     minted_at: float
     sequence: int
@@ -72,27 +72,28 @@
 class TicketTable:
     """The tickets of one incarnation of a node.
 
-    Tickets up to the low-water mark may have been forgotten. Memory is
-    bounded: the mark rises with time, and when there are too many entries.
+    Entries of tickets up to the low-water mark may have been dropped. Memory
+    is bounded: the mark rises as tickets expire and when there are too many
+    entries.
     """
 
     def __init__(
         self,
         *,
-        life_s: float = TICKET_LIFE_S,
+        lifetime_s: float = TICKET_LIFE_S,
         max_entries: int = MAX_ENTRIES,
         max_answer_bytes: int = memory.MAX_ANSWER_BYTES,
         max_total_bytes: int = memory.MAX_TOTAL_BYTES,
     ) -> None:
-        """Starts without tickets.
+        """Creates a table without tickets.
 
         Args:
-          life_s: time for which a ticket can be used, in seconds.
-          max_entries: most tickets that are remembered one by one.
-          max_answer_bytes: greatest answer that is kept.
-          max_total_bytes: most bytes of answers that are kept.
+          lifetime_s: time for which a ticket is valid, in seconds.
+          max_entries: maximum number of tickets with an entry of their own.
+          max_answer_bytes: size of the largest answer that is kept.
+          max_total_bytes: maximum total size of the answers that are kept.
         """
-        self._life_s = life_s
+        self._lifetime_s = lifetime_s
         self._max_entries = max_entries
         self._sequence = 0
         self._low_water = 0
@@ -102,17 +103,17 @@
         )
 
     def __len__(self) -> int:
-        """Returns the number of tickets that are remembered one by one."""
+        """Returns the number of tickets with an entry of their own."""
         return len(self._memory)
 
     @property
     def low_water(self) -> int:
-        """Greatest ticket that may have been forgotten."""
+        """Greatest sequence number whose entry may have been dropped."""
         return self._low_water
 
     @property
     def total_bytes(self) -> int:
-        """Bytes of the answers that are kept."""
+        """Total size of the answers that are kept, in bytes."""
         return self._memory.total_bytes
 
     def mint(self, now: float) -> int:
@@ -127,19 +128,19 @@
         return self._sequence
 
     def claim(self, sequence: int, fingerprint: int, now: float) -> Claim:
-        """Decides on a request that carries a ticket of this incarnation.
+        """Decides how to handle a request with a ticket of this incarnation.
 
         Args:
-          sequence: number of the ticket.
-          fingerprint: tells the request apart from others.
-          now: present time.
+          sequence: sequence number of the ticket.
+          fingerprint: hash of the content of the request.
+          now: current time in seconds.
         """
         self.expire(now)
-        known = self._memory.find(sequence, fingerprint)
-        if known is not None:
-            return known
+        claim = self._memory.find(sequence, fingerprint)
+        if claim is not None:
+            return claim
         if len(self._memory) >= self._max_entries:
-            self._make_room()
+            self._evict_oldest()
         is_unused = self._low_water < sequence <= self._sequence
         if not is_unused or len(self._memory) >= self._max_entries:
             return Claim(ClaimKind.FORGOTTEN)
@@ -153,29 +154,31 @@
         outcome: Outcome,
         answer: RecordedAnswer | None = None,
     ) -> None:
-        """Takes note of the end of a run.
+        """Records the result of a run.
 
         Args:
-          sequence: number of the ticket.
-          outcome: what is known of a run without a whole answer. After
+          sequence: sequence number of the ticket.
+          outcome: what is known about a run without a whole answer. After
             `not_run` the ticket can be used again.
-          answer: the whole answer, None when there is none or it is too
-            large to keep.
+          answer: the whole answer, None if there is none or it is too large
+            to keep.
         """
         self._memory.finish(sequence, outcome=outcome, answer=answer)
         if sequence <= self._low_water:
             self._memory.forget(sequence)
 
     def expire(self, now: float) -> None:
-        """Forgets the tickets that are too old."""
-        while self._marks and now - self._marks[0].minted_at > self._life_s:
+        """Drops the entries of expired tickets."""
+        while self._marks and now - self._marks[0].minted_at > self._lifetime_s:
             self._raise_low_water(self._marks.popleft().sequence)
 
-    def _make_room(self) -> None:
-        """Forgets the oldest runs that have ended."""
-        ended = sorted(self._memory.list_ended())
-        if ended:
-            self._raise_low_water(ended[len(ended) // _FORGET_SHARE])
+    def _evict_oldest(self) -> None:
+        """Evicts the oldest completed runs."""
+        completed = sorted(self._memory.list_ended())
+        if completed:
+            self._raise_low_water(
+                completed[len(completed) // _EVICTION_DIVISOR]
+            )
 
     def _raise_low_water(self, sequence: int) -> None:
         if sequence <= self._low_water:
--- a/chervilrock/decisions/requests/transcript.py
+++ b/chervilrock/decisions/requests/transcript.py
@@ -1,7 +1,7 @@
-"""Text that a caller has got so far, kept to go on at another group.
+"""Text that a caller has received so far, to continue it at another group.
 
-Events are kept as they came and are decoded in batches, since nearly all
-answers end at the group where they began.
+Events are stored undecoded and are decoded in batches, since nearly all
+answers complete at the group where they started.
 """
 
 import enum
@@ -12,18 +12,18 @@
 from chervilrock.decisions.requests import positions
 
 MAX_TEXT_CHARS = 4 * 1024 * 1024
-"""Longest text that is kept; a longer answer cannot go on elsewhere."""
+"""Maximum length of the text; a longer answer cannot continue elsewhere."""
 
-_BATCH = 64
+_BATCH_CHUNKS = 64
 _DATA_LINE = b"\ndata: "
 
 
 class Kept(NamedTuple):
-    """What is known of an answer that broke off.
+    """Text of an answer that broke off.
 
     Attributes:
-      text: text of all events.
-      finished: whether an event said that the text is at its end.
+      text: concatenated text of all events.
+      finished: whether an event reported that the text is complete.
     """
 
     text: str
@@ -31,21 +31,21 @@
 
 
 class _Form(enum.StrEnum):
-    """Why an answer is or is not one text."""
+    """Whether an answer is a single plain text."""
 
     TEXT = "text"
     OTHER = "other"
 
 
 class _Delta(msgspec.Struct, forbid_unknown_fields=True):
-    """Part of a chat message that is nothing but text."""
+    """Delta of a chat message that holds only text."""
 
     role: str | None = None
     content: str | None = None
 
 
 class _Choice(msgspec.Struct):
-    """One choice of an event, of either kind of completion."""
+    """One choice of an event, for text and chat completions."""
 
     index: int = 0
     delta: _Delta | None = None
@@ -64,30 +64,30 @@
 
 
 class Transcript:
-    """The text of one answer, from its events."""
+    """Collects the text of one answer from its events."""
 
-    __slots__ = ("_chars", "_finished", "_form", "_raw", "_texts")
+    __slots__ = ("_chars", "_finished", "_form", "_pending", "_texts")
 
     def __init__(self) -> None:
-        """Starts with no events."""
-        self._raw: list[bytes] = []
+        """Creates a transcript without events."""
+        self._pending: list[bytes] = []
         self._texts: list[str] = []
         self._chars = 0
         self._finished = False
         self._form = _Form.TEXT
 
     def add(self, events: bytes) -> None:
-        """Takes one or more whole events that the caller gets."""
-        self._raw.append(events)
-        if len(self._raw) >= _BATCH:
+        """Appends one or more whole events that are sent to the caller."""
+        self._pending.append(events)
+        if len(self._pending) >= _BATCH_CHUNKS:
             self._decode_batch()
 
     def read(self) -> Kept | None:
         """Returns the text so far.
 
         Returns:
-          None when the events hold more than one plain text, such as tool
-          calls or several choices, so that nobody can go on after them.
+          The text, or None if the events hold more than a single plain text,
+          such as tool calls or several choices, and cannot be continued.
         """
         self._decode_batch()
         if self._form is not _Form.TEXT:
@@ -96,8 +96,8 @@
         return Kept(text=self._texts[0], finished=self._finished)
 
     def _decode_batch(self) -> None:
-        batch = b"".join(self._raw)
-        self._raw.clear()
+        batch = b"".join(self._pending)
+        self._pending.clear()
         if self._form is not _Form.TEXT:
             return
         for event in batch.split(positions.EVENT_END):
@@ -107,7 +107,7 @@
                 return
 
     def _decode_event(self, event: bytes) -> bool:
-        """Adds the text of an event; False when it is not plain text."""
+        """Adds the text of an event; returns False if it is not plain text."""
         data = event.partition(_DATA_LINE)[2]
         if data == b"[DONE]":
             return True
--- a/test/decisions/requests/test_keys.py
+++ b/test/decisions/requests/test_keys.py
@@ -25,22 +25,22 @@
 NAMES = [KeyName("w", "k1"), KeyName("w", "k2")]
 NODES = 2
 WAIT_S = 2.0
-FATES = ["stored", "stored", "lost", "unanswered", "late"]
+APPEND_RESULTS = ["stored", "stored", "lost", "unanswered", "late"]
 
 
 class Node:
-    """One node with its claims and what it has in progress."""
+    """A node with its claims and the requests that it is running."""
 
     def __init__(self, number: int) -> None:
         writer = RecordWriter(node=f"n{number}", incarnation="i")
         self.claims = KeyClaims(writer=writer, wait_s=WAIT_S)
-        self.read_upto = 0
+        self.read_count = 0
         self.batch: tuple[Record, ...] = ()
         self.running: set[KeyName] = set()
 
 
-class Keys(RuleBasedStateMachine):
-    """Nodes that claim the same keys over a log that loses answers."""
+class KeyMachine(RuleBasedStateMachine):
+    """Nodes claim the same keys in a log that loses or delays appends."""
 
     @initialize()
     def start(self) -> None:
@@ -50,13 +50,15 @@
         self.now = 0.0
         self.may_have_run: set[KeyName] = set()
 
-    def _hear(self, node: Node, decision: KeyDecision | None) -> None:
+    def _record_decision(
+        self, node: Node, decision: KeyDecision | None
+    ) -> None:
         if decision is None or decision.verdict is not KeyVerdict.DISPATCH:
             return
         name = decision.name
-        assert name not in self.may_have_run, "a second run"
+        assert name not in self.may_have_run, "the request ran twice"
         for other in self.nodes:
-            assert name not in other.running, "two runs at once"
+            assert name not in other.running, "two runs in progress at once"
         node.running.add(name)
 
     @rule(number=st.integers(0, NODES - 1), name=st.sampled_from(NAMES))
@@ -67,21 +69,23 @@
         verdict = node.claims.claim(name, self.now)
         assert verdict is not KeyVerdict.DISPATCH
 
-    @rule(number=st.integers(0, NODES - 1), fate=st.sampled_from(FATES))
-    def append(self, number: int, fate: str) -> None:
+    @rule(
+        number=st.integers(0, NODES - 1), result=st.sampled_from(APPEND_RESULTS)
+    )
+    def append(self, number: int, result: str) -> None:
         node = self.nodes[number]
         batch = node.claims.take_batch()
         if not batch:
             return
-        if fate in ("stored", "unanswered"):
+        if result in ("stored", "unanswered"):
             self.log += batch
-        if fate == "late":
+        if result == "late":
             self.late.append(batch)
-        node.claims.note_appended(ok=fate == "stored")
+        node.claims.note_appended(ok=result == "stored")
 
     @rule(order=st.permutations(range(NODES)))
     def settle(self, order: list[int]) -> None:
-        """Lets the log work for a while."""
+        """Appends and reads everything pending, without faults of the log."""
         for number in order:
             self.append(number, "stored")
         for number in order:
@@ -95,10 +99,10 @@
     @rule(number=st.integers(0, NODES - 1), count=st.sampled_from([1, 100]))
     def read(self, number: int, count: int) -> None:
         node = self.nodes[number]
-        for record in self.log[node.read_upto : node.read_upto + count]:
-            node.read_upto += 1
-            stored = StoredRecord(node.read_upto, record)
-            self._hear(node, node.claims.take_record(stored))
+        for record in self.log[node.read_count : node.read_count + count]:
+            node.read_count += 1
+            stored = StoredRecord(node.read_count, record)
+            self._record_decision(node, node.claims.take_record(stored))
 
     @rule(seconds=st.sampled_from([0.5, 0.5, WAIT_S]))
     def wait(self, seconds: float) -> None:
@@ -123,7 +127,7 @@
 
 def check_keys() -> None:
     run_state_machine_as_test(
-        Keys,
+        KeyMachine,
         settings=settings(
             max_examples=80,
             stateful_step_count=40,
@@ -132,45 +136,45 @@
     )
 
 
-def test_keys_run_once_whatever_the_log_does() -> None:
+def test_key_runs_at_most_once_despite_faults_of_the_log() -> None:
     check_keys()
 
 
-def win_every_claim(*_arguments: object) -> bool:
+def accept_every_record(*_arguments: object) -> bool:
     return True
 
 
-def dispatch_unread(claims: KeyClaims, name: KeyName) -> KeyDecision:
-    del claims._open[name]
+def dispatch_undecided_claim(claims: KeyClaims, name: KeyName) -> KeyDecision:
+    del claims._undecided[name]
     return KeyDecision(name, KeyVerdict.DISPATCH)
 
 
 MUTATIONS = [
-    (KeyFold, "_claim", win_every_claim),
-    (KeyClaims, "_lose", dispatch_unread),
-    (KeyClaims, "_give_up", dispatch_unread),
+    (KeyFold, "_claim", accept_every_record),
+    (KeyClaims, "_decide_lost_claim", dispatch_undecided_claim),
+    (KeyClaims, "_give_up", dispatch_undecided_claim),
 ]
 
 
-@pytest.mark.parametrize(("place", "name", "mutant"), MUTATIONS)
-def test_oracle_notices_a_mutation_of_keys(
-    monkeypatch: pytest.MonkeyPatch, place: object, name: str, mutant: object
+@pytest.mark.parametrize(("target", "name", "mutant"), MUTATIONS)
+def test_machine_detects_mutation(
+    monkeypatch: pytest.MonkeyPatch, target: object, name: str, mutant: object
 ) -> None:
-    monkeypatch.setattr(place, name, mutant)
+    monkeypatch.setattr(target, name, mutant)
     with pytest.raises(AssertionError):
         check_keys()
 
 
-def test_reuse_needs_the_record_that_frees_a_key(
+def test_reuse_check_detects_an_ignored_release_record(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(KeyFold, "_finish", win_every_claim)
+    monkeypatch.setattr(KeyFold, "_finish", accept_every_record)
     with pytest.raises(AssertionError):
         check_reuse()
 
 
 def check_reuse() -> None:
-    """Claims a key again after it was given up."""
+    """Checks that a key can be claimed again after its claim was given up."""
     node = Node(0)
     log: list[Record] = []
     node.claims.claim(NAMES[0], 0.0)
@@ -185,15 +189,15 @@
         node.claims.take_record(StoredRecord(offset, record))
         for offset, record in enumerate(log, start=1)
     ]
-    wanted = KeyDecision(NAMES[0], KeyVerdict.DISPATCH)
-    assert decisions[-1] == wanted
+    expected = KeyDecision(NAMES[0], KeyVerdict.DISPATCH)
+    assert decisions[-1] == expected
 
 
 def test_key_that_was_given_up_can_be_claimed_again() -> None:
     check_reuse()
 
 
-def test_claims_share_one_append() -> None:
+def test_claims_are_appended_in_batches() -> None:
     node = Node(0)
     for number in range(keys.MAX_BATCH + 1):
         node.claims.claim(KeyName("w", str(number)), 0.0)
@@ -203,7 +207,7 @@
     assert_that(len(node.claims.take_batch()), Equals(1))
 
 
-def test_claim_during_an_outage_is_refused_at_once() -> None:
+def test_claim_during_an_outage_is_rejected_at_once() -> None:
     node = Node(0)
     node.claims.claim(NAMES[0], 0.0)
     node.claims.take_batch()
@@ -211,7 +215,7 @@
     assert node.claims.claim(NAMES[1], 0.0) is KeyVerdict.NOT_RUN
 
 
-def test_claim_of_a_key_that_ended_is_told_at_once() -> None:
+def test_claim_of_a_finished_key_is_decided_at_once() -> None:
     first, second = Node(0), Node(1)
     first.claims.claim(NAMES[0], 0.0)
     first.claims.claim(NAMES[1], 0.0)
--- a/test/decisions/requests/test_promises.py
+++ b/test/decisions/requests/test_promises.py
@@ -12,7 +12,7 @@
 from chervilrock.decisions.requests.outcomes import AttemptEnd
 from chervilrock.decisions.requests.positions import StreamPositions
 from chervilrock.generated.interfaces import Outcome
-from test.decisions.requests.worlds import Script, SCRIPTS, World
+from test.decisions.requests.worlds import RequestSimulation, Script, SCRIPTS
 
 EXAMPLES = 300
 
@@ -23,19 +23,19 @@
     report_multiple_bugs=False,
 )
 @given(SCRIPTS)
-def check_promises(script: Script) -> None:
-    World(script).play()
+def check_guarantees(script: Script) -> None:
+    RequestSimulation(script).run()
 
 
-def test_requests_keep_their_promises() -> None:
-    check_promises()
+def test_guarantees_hold_for_any_script() -> None:
+    check_guarantees()
 
 
 def accept_everything(*_arguments: object) -> bool:
     return True
 
 
-def pass_everything(_positions: StreamPositions, chunk: bytes) -> bytes:
+def forward_everything(_positions: StreamPositions, chunk: bytes) -> bytes:
     return chunk
 
 
@@ -46,23 +46,23 @@
 MUTATIONS = [
     (AttemptTracker, "_may_send", accept_everything),
     (AttemptTracker, "is_current", accept_everything),
-    (StreamPositions, "feed", pass_everything),
+    (StreamPositions, "feed", forward_everything),
     (outcomes, "judge_outcome", deny_every_run),
     (outcomes, "PROVES_NOT_RUN", frozenset(AttemptEnd)),
     (outcomes, "PROVES_ENDED", frozenset(AttemptEnd)),
 ]
 
 
-@pytest.mark.parametrize(("place", "name", "mutant"), MUTATIONS)
-def test_oracle_notices_a_mutation(
-    monkeypatch: pytest.MonkeyPatch, place: object, name: str, mutant: object
+@pytest.mark.parametrize(("target", "name", "mutant"), MUTATIONS)
+def test_simulation_detects_mutation(
+    monkeypatch: pytest.MonkeyPatch, target: object, name: str, mutant: object
 ) -> None:
-    monkeypatch.setattr(place, name, mutant)
+    monkeypatch.setattr(target, name, mutant)
     with pytest.raises((AssertionError, ValueError)):
-        check_promises()
+        check_guarantees()
 
 
-def test_resume_that_was_refused_does_not_hide_the_run_before() -> None:
+def test_rejected_resume_does_not_hide_the_earlier_run() -> None:
     tracker = AttemptTracker(request_id="r", idempotent=True, deadline=9.0)
     send = tracker.begin("a", SendMode.START)
     report = SendReport(
@@ -74,16 +74,16 @@
     assert tracker.finish(report, 0.0) == attempts.Resume("a", 2)
     send = tracker.begin("a", SendMode.RESUME)
     report = SendReport(number=send.number, end=AttemptEnd.REFUSED, position=2)
-    given_up = attempts.GiveUp(Outcome.FAILED, AttemptEnd.BROKEN, True)
-    assert tracker.finish(report, 0.0) == given_up
+    expected = attempts.GiveUp(Outcome.FAILED, AttemptEnd.BROKEN, True)
+    assert tracker.finish(report, 0.0) == expected
 
 
-def test_send_has_to_fit_what_the_caller_has() -> None:
+def test_invalid_start_of_a_send_is_an_error() -> None:
     tracker = AttemptTracker(request_id="r", idempotent=True, deadline=9.0)
-    with pytest.raises(ValueError, match="does not fit"):
+    with pytest.raises(ValueError, match="is not valid after"):
         tracker.begin("a", SendMode.RESUME)
     tracker.begin("a", SendMode.START)
-    with pytest.raises(ValueError, match="on its way"):
+    with pytest.raises(ValueError, match="another send is in progress"):
         tracker.begin("a", SendMode.START)
 
 
@@ -101,18 +101,18 @@
 
 
 @pytest.mark.parametrize(("status", "header", "code", "end"), ENGINE_ANSWERS)
-def test_answers_of_engines(
+def test_end_of_an_attempt_from_the_answer_of_an_engine(
     status: int, header: bool, code: str, end: AttemptEnd
 ) -> None:
-    judged = outcomes.judge_engine_answer(
+    result = outcomes.judge_engine_answer(
         status, not_run_header=header, code=code
     )
-    assert judged is end
+    assert result is end
 
 
-def test_answers_of_plain_services_are_passed_on() -> None:
+def test_answers_of_plain_services_are_forwarded() -> None:
     for status in (200, 409, 429, 500, 503):
-        judged = outcomes.judge_service_answer(status, not_run_header=False)
-        assert_that(judged, Equals(AttemptEnd.COMPLETE))
-    judged = outcomes.judge_service_answer(503, not_run_header=True)
-    assert_that(judged, Equals(AttemptEnd.REFUSED))
+        result = outcomes.judge_service_answer(status, not_run_header=False)
+        assert_that(result, Equals(AttemptEnd.COMPLETE))
+    result = outcomes.judge_service_answer(503, not_run_header=True)
+    assert_that(result, Equals(AttemptEnd.REFUSED))
--- a/test/decisions/requests/test_tickets.py
+++ b/test/decisions/requests/test_tickets.py
@@ -24,7 +24,7 @@
 )
 from chervilrock.generated.interfaces import Outcome
 
-LIFE_S = 10.0
+LIFETIME_S = 10.0
 MAX_ENTRIES = 5
 MAX_ANSWER_BYTES = 8
 MAX_TOTAL_BYTES = 20
@@ -33,13 +33,13 @@
 FINGERPRINTS = st.integers(1, 2)
 
 
-class Tickets(RuleBasedStateMachine):
-    """Holds a table of tickets to what a simple oracle remembers of it."""
+class TicketMachine(RuleBasedStateMachine):
+    """Checks a ticket table against a simple model of its tickets."""
 
     @initialize()
     def start(self) -> None:
         self.table = TicketTable(
-            life_s=LIFE_S,
+            lifetime_s=LIFETIME_S,
             max_entries=MAX_ENTRIES,
             max_answer_bytes=MAX_ANSWER_BYTES,
             max_total_bytes=MAX_TOTAL_BYTES,
@@ -64,9 +64,9 @@
         claim = self.table.claim(sequence, fingerprint, self.now)
         if claim.kind is ClaimKind.RUN:
             assert 1 <= sequence <= len(self.minted)
-            assert sequence not in self.may_have_run, "a second run"
-            assert sequence not in self.running, "two runs at once"
-            assert self.now - self.minted[sequence - 1] <= LIFE_S + 1.0
+            assert sequence not in self.may_have_run, "the request ran twice"
+            assert sequence not in self.running, "two runs in progress at once"
+            assert self.now - self.minted[sequence - 1] <= LIFETIME_S + 1.0
             self.running[sequence] = fingerprint
         elif claim.kind is ClaimKind.JOIN:
             assert_that(self.running[sequence], Equals(fingerprint))
@@ -103,14 +103,15 @@
         assert len(self.table) <= MAX_ENTRIES + len(self.running)
 
 
-def test_tickets_against_an_oracle() -> None:
+def test_ticket_table_against_a_model() -> None:
     run_state_machine_as_test(
-        Tickets, settings=settings(max_examples=80, stateful_step_count=40)
+        TicketMachine,
+        settings=settings(max_examples=80, stateful_step_count=40),
     )
 
 
-def test_life_of_a_ticket() -> None:
-    table = TicketTable(life_s=LIFE_S)
+def test_ticket_from_first_claim_to_expiry() -> None:
+    table = TicketTable(lifetime_s=LIFETIME_S)
     sequence = table.mint(0.0)
     assert table.claim(sequence, 1, 0.0).kind is ClaimKind.RUN
     assert table.claim(sequence, 1, 1.0).kind is ClaimKind.JOIN
@@ -120,7 +121,9 @@
     claim = table.claim(sequence, 1, 2.0)
     assert claim.kind is ClaimKind.REPLAY
     assert claim.answer == answer
-    assert table.claim(sequence, 1, LIFE_S + 1.0).kind is ClaimKind.FORGOTTEN
+    assert (
+        table.claim(sequence, 1, LIFETIME_S + 1.0).kind is ClaimKind.FORGOTTEN
+    )
     assert table.claim(sequence + 1, 1, 2.0).kind is ClaimKind.FORGOTTEN
 
 
@@ -133,19 +136,21 @@
 
 
 @given(st.text(min_size=1), st.integers(1, 10**14))
-def test_format_of_tickets(incarnation: str, sequence: int) -> None:
+def test_formatted_ticket_is_parsed_back(
+    incarnation: str, sequence: int
+) -> None:
     ticket = TicketId(incarnation, sequence)
     assert parse_ticket(format_ticket(ticket)) == ticket
 
 
 @given(st.one_of(st.text(), st.from_regex(r"tk\..*\.[0-9]+", fullmatch=True)))
-def test_keys_of_callers_are_no_tickets(text: str) -> None:
+def test_parser_accepts_only_formatted_tickets(text: str) -> None:
     ticket = parse_ticket(text)
     if ticket is not None:
         assert_that(format_ticket(ticket), Equals(text))
 
 
-def test_fingerprints_differ() -> None:
+def test_different_requests_have_different_fingerprints() -> None:
     requests = [
         ("w", "POST", "/p", b"x"),
         ("v", "POST", "/p", b"x"),
@@ -154,5 +159,5 @@
         ("w", "POST", "/p", b"y"),
         ("w", "POST", "/p\0", b"x"),
     ]
-    prints = {make_fingerprint(*request) for request in requests}
-    assert_that(len(prints), Equals(len(requests)))
+    fingerprints = {make_fingerprint(*request) for request in requests}
+    assert_that(len(fingerprints), Equals(len(requests)))
--- a/test/decisions/requests/test_transcript.py
+++ b/test/decisions/requests/test_transcript.py
@@ -19,22 +19,24 @@
 @given(
     texts=st.lists(st.text(max_size=5), max_size=150),
     chat=st.booleans(),
-    group=st.integers(1, 4),
+    chunk_events=st.integers(1, 4),
 )
-def test_text_of_events(texts: list[str], chat: bool, group: int) -> None:
+def test_text_is_collected_from_events(
+    texts: list[str], chat: bool, chunk_events: int
+) -> None:
     events = [
         make_event(number, make_choice(text, chat=chat))
         for number, text in enumerate(texts, start=1)
     ]
     transcript = Transcript()
-    for start in range(0, len(events), group):
-        transcript.add(b"".join(events[start : start + group]))
+    for start in range(0, len(events), chunk_events):
+        transcript.add(b"".join(events[start : start + chunk_events]))
     expected = Kept(text="".join(texts), finished=False)
     assert transcript.read() == expected
     assert transcript.read() == expected
 
 
-def test_end_of_the_text_is_noticed() -> None:
+def test_finish_reason_marks_the_text_as_finished() -> None:
     transcript = Transcript()
     transcript.add(make_event(1, make_choice("a", chat=True)))
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
@@ -43,7 +45,7 @@
     assert transcript.read() == Kept(text="a", finished=True)
 
 
-OTHERS = [
+NOT_A_SINGLE_TEXT = [
     {"choices": [{"index": 1, "text": "b"}]},
     {"choices": [{"delta": {"tool_calls": []}}]},
     {"choices": [{"message": {"content": "b"}}]},
@@ -52,8 +54,8 @@
 ]
 
 
-@pytest.mark.parametrize("data", OTHERS)
-def test_other_than_one_text_cannot_go_on(data: object) -> None:
+@pytest.mark.parametrize("data", NOT_A_SINGLE_TEXT)
+def test_answer_other_than_one_text_cannot_be_continued(data: object) -> None:
     transcript = Transcript()
     transcript.add(make_event(1, make_choice("a", chat=True)))
     transcript.add(make_event(2, data))
@@ -61,7 +63,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_whatever_comes_is_taken(data: bytes) -> None:
+def test_any_event_data_is_accepted(data: bytes) -> None:
     transcript = Transcript()
     transcript.add(b"id: r/1\ndata: " + data + b"\n\n")
     kept = transcript.read()
--- a/test/decisions/requests/worlds.py
+++ b/test/decisions/requests/worlds.py
@@ -1,4 +1,4 @@
-"""A simple oracle for the decisions about one request."""
+"""Simulation of one request that checks the decisions about it."""
 
 from typing import NamedTuple
 
@@ -17,7 +17,7 @@
 
 REQUEST_ID = "n-i-7"
 EVENTS = 6
-DEADLINE = 100.0
+DEADLINE_S = 100.0
 GROUPS = ("a", "b", "c")
 
 
@@ -25,12 +25,12 @@
     """What happens to one send.
 
     Attributes:
-      end: how it ends, as far as the node can see.
-      ran: whether the backend server ran it, when the end leaves that open.
-      events: numbers of the events that come, in the order of their coming.
-      late: whether the end of the send before comes again.
-      serves: whether its group still serves.
-      seconds: time that it takes.
+      end: how the send ends, as observed by the node.
+      ran: whether the backend server ran it, if the end leaves that open.
+      events: numbers of the events that arrive, in order of arrival.
+      late: whether the report of the previous send arrives again.
+      serves: whether the group of the send still serves.
+      seconds: duration of the send.
     """
 
     end: AttemptEnd
@@ -42,7 +42,7 @@
 
 
 class Script(NamedTuple):
-    """A request and everything that happens to it."""
+    """A request and what happens to each of its sends."""
 
     idempotent: bool
     continuable: bool
@@ -67,56 +67,62 @@
 
 
 def make_event(number: int) -> bytes:
-    """Returns an event of the answer, the last one saying done."""
+    """Returns an event of the answer; the last event marks its end."""
     data = b"[DONE]" if number == EVENTS + 1 else b'{"n":%d}' % number
     return b"id: %b/%d\ndata: %b\n\n" % (REQUEST_ID.encode(), number, data)
 
 
-WHOLE = b"".join(make_event(number) for number in range(1, EVENTS + 2))
+WHOLE_ANSWER = b"".join(make_event(number) for number in range(1, EVENTS + 2))
 
 
-class World:
-    """Plays a script against the decisions and holds them to the promises."""
+class RequestSimulation:
+    """Runs a script against the decisions and checks their guarantees."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.tracker = AttemptTracker(
             request_id=REQUEST_ID,
             idempotent=script.idempotent,
-            deadline=DEADLINE,
+            deadline=DEADLINE_S,
         )
         self.now = 0.0
         self.runs = 0
-        self.may_have_left = False
-        self.given = b""
-        self.unseen_run = False
+        self.may_have_been_sent = False
+        self.delivered = b""
+        self.unobserved_run = False
 
-    def play(self) -> None:
-        """Plays the script to its end."""
+    def run(self) -> None:
+        """Runs the script to its end."""
         decision: attempts.Decision = attempts.TryElsewhere(frozenset())
         for step in self.script.steps:
             if isinstance(decision, attempts.Deliver | attempts.GiveUp):
                 break
-            decision = self._take_step(decision, step)
+            decision = self._run_step(decision, step)
         if isinstance(decision, attempts.Deliver):
-            assert self.given == WHOLE, "the answer is not whole"
+            assert self.delivered == WHOLE_ANSWER, "the answer is incomplete"
         elif isinstance(decision, attempts.GiveUp):
             self._check_outcome(decision)
 
-        assert WHOLE.startswith(self.given), "events are out of place"
+        assert WHOLE_ANSWER.startswith(self.delivered), (
+            "events are missing or out of order"
+        )
 
-    def _take_step(
+    def _run_step(
         self, decision: attempts.Decision, step: Step
     ) -> attempts.Decision:
-        assert self.now < DEADLINE or self.tracker.sends == 0, "sent too late"
+        assert self.now < DEADLINE_S or self.tracker.sends == 0, (
+            "sent after the deadline"
+        )
         if not self.script.idempotent:
-            assert not self.may_have_left, "sent twice"
-        send = self.tracker.begin(*self._choose(decision))
+            assert not self.may_have_been_sent, "sent twice"
+        send = self.tracker.begin(*self._choose_target(decision))
         if step.late:
-            stale = SendReport(number=send.number - 1, end=AttemptEnd.REFUSED)
-            assert self.tracker.finish(stale, self.now) is None
+            stale_report = SendReport(
+                number=send.number - 1, end=AttemptEnd.REFUSED
+            )
+            assert self.tracker.finish(stale_report, self.now) is None
         assert send.after == self._position()
-        end = self._run(send, step)
+        end = self._run_send(send, step)
         self.now += step.seconds
         report = SendReport(
             number=send.number,
@@ -125,33 +131,35 @@
             target_holds=step.serves,
             continuable=self.script.continuable,
         )
-        decided = self.tracker.finish(report, self.now)
-        assert decided is not None
-        return decided
+        next_decision = self.tracker.finish(report, self.now)
+        assert next_decision is not None
+        return next_decision
 
-    def _choose(self, decision: attempts.Decision) -> tuple[str, SendMode]:
+    def _choose_target(
+        self, decision: attempts.Decision
+    ) -> tuple[str, SendMode]:
         if isinstance(decision, attempts.Resume):
             return decision.target, SendMode.RESUME
         assert isinstance(
             decision, attempts.TryElsewhere | attempts.ContinueElsewhere
         )
-        left = [name for name in GROUPS if name not in decision.exclude]
-        assert left or decision.again or decision.exclude
+        available = [name for name in GROUPS if name not in decision.exclude]
+        assert available or decision.again or decision.exclude
         mode = (
             SendMode.START
             if isinstance(decision, attempts.TryElsewhere)
             else SendMode.CONTINUE
         )
-        return (left or list(GROUPS))[0], mode
+        return (available or list(GROUPS))[0], mode
 
-    def _run(self, send: Send, step: Step) -> AttemptEnd:
-        """Lets a backend server do what the step says."""
+    def _run_send(self, send: Send, step: Step) -> AttemptEnd:
+        """Simulates a backend server as the step describes."""
         if step.end in (AttemptEnd.NOT_SENT, AttemptEnd.REFUSED):
             return step.end
-        self.may_have_left = True
+        self.may_have_been_sent = True
         if step.end in (AttemptEnd.LOST, AttemptEnd.FOREIGN):
             self.runs += step.ran
-            self.unseen_run = self.unseen_run or step.ran
+            self.unobserved_run = self.unobserved_run or step.ran
             return step.end
         if step.end in (AttemptEnd.ERROR, AttemptEnd.DENIED):
             return step.end
@@ -164,16 +172,18 @@
         if step.end is AttemptEnd.COMPLETE:
             numbers += range(send.after + 1, EVENTS + 2)
         for number in numbers:
-            self.given += positions.feed(make_event(number))
+            self.delivered += positions.feed(make_event(number))
         return AttemptEnd.COMPLETE if positions.done else AttemptEnd.BROKEN
 
     def _position(self) -> int:
-        return self.given.count(b"\n\n")
+        return self.delivered.count(b"\n\n")
 
     def _check_outcome(self, decision: attempts.GiveUp) -> None:
-        assert decision.marked == (self._position() > 0)
+        assert decision.mid_stream == (self._position() > 0)
         if decision.outcome is Outcome.NOT_RUN:
-            assert self.runs == 0, "told not_run, but it ran"
-            assert not self.may_have_left, "told not_run after a send"
+            assert self.runs == 0, "reported not_run, but it ran"
+            assert not self.may_have_been_sent, "reported not_run after a send"
         elif decision.outcome is Outcome.FAILED:
-            assert not self.unseen_run, "told failed, but it may be whole"
+            assert not self.unobserved_run, (
+                "reported failed, but a run may have completed"
+            )
