--- a/chervilrock/decisions/routing/attempts.py
+++ b/chervilrock/decisions/routing/attempts.py
@@ -1,108 +1,125 @@
-"""Own attempts in progress: their prompts, first tokens and pace."""
+"""Own attempts in progress, and the token times that they show."""
 
 from typing import NamedTuple
 
-BASE_S = 0.03
-"""Time to the first token of a fully cached prompt."""
+CACHED_FIRST_TOKEN_S = 0.03
+"""Time to the first token of a prompt that is fully cached."""
 
-INITIAL_S_PER_TOKEN = 1e-4
-RATE_WEIGHT = 0.02
-"""Weight of a new sample of the time for a prompt token."""
+INITIAL_PREFILL_S_PER_TOKEN = 1e-4
+PREFILL_WEIGHT = 0.02
+"""Weight of a new sample in the moving mean of the time per prompt token."""
 
-MAX_RATE_SAMPLE = 10.0
-"""Greatest sample, in multiples of the mean; waiting makes them great."""
+MAX_PREFILL_SAMPLE_RATIO = 10.0
+"""Greatest sample, in multiples of the mean.
 
-MIN_RATE_TOKENS = 64
-MIN_PACE_TOKENS = 4
-"""Tokens from which a time for each of them is measured."""
+A sample includes the time that the prompt waited at the engine, which is not
+time of computation.
+"""
+
+MIN_PREFILL_TOKENS = 64
+MIN_DECODED_TOKENS = 4
+"""Least number of tokens from which the time per token is computed."""
 
 
 class _Attempt(NamedTuple):
-    uncached: float
+    uncached_tokens: float
     progress_at: float | None
-    progress: int
+    answer_tokens: int
 
 
-class Attempts:
-    """Attempts by request and group."""
+class AttemptTracker:
+    """Attempts in progress by request and group, with the prefill speed."""
 
     def __init__(self) -> None:
-        """Start without any attempt."""
+        """Create a tracker without attempts."""
         self._attempts: dict[tuple[str, str], _Attempt] = {}
-        self._pending: dict[str, float] = {}
-        self._s_per_token = INITIAL_S_PER_TOKEN
+        self._pending_tokens: dict[str, float] = {}
+        self._prefill_s_per_token = INITIAL_PREFILL_S_PER_TOKEN
 
-    def pending_tokens(self, group: str) -> float:
-        """Return the tokens of own prompts that have no first token yet."""
-        return self._pending.get(group, 0.0)
+    def count_pending_tokens(self, group: str) -> float:
+        """Return the uncached tokens of own prompts without a first token."""
+        return self._pending_tokens.get(group, 0.0)
 
-    def start(self, request_id: str, group: str, uncached: float) -> float:
+    def start(
+        self, request_id: str, group: str, uncached_tokens: float
+    ) -> float:
         """Add an attempt.
 
         Args:
           request_id: identity of the request.
           group: group that it is sent to.
-          uncached: prompt tokens that the group has to compute.
+          uncached_tokens: prompt tokens that the group has to compute.
 
         Returns:
           The expected time to the first token in seconds.
         """
-        total = self.pending_tokens(group) + uncached
-        self._attempts[request_id, group] = _Attempt(uncached, None, 0)
-        self._pending[group] = total
-        return BASE_S + self._s_per_token * total
+        pending_tokens = self.count_pending_tokens(group) + uncached_tokens
+        self._attempts[request_id, group] = _Attempt(uncached_tokens, None, 0)
+        self._pending_tokens[group] = pending_tokens
+        return CACHED_FIRST_TOKEN_S + self._prefill_s_per_token * pending_tokens
 
     def note_first_token(
         self, request_id: str, group: str, waited: float, now: float
     ) -> bool:
-        """Note the first token, and tell whether it was not known yet."""
+        """Record the first token; return False if it was recorded already.
+
+        It also returns False for an unknown attempt.
+        """
         attempt = self._attempts.get((request_id, group))
         if attempt is None or attempt.progress_at is not None:
             return False
         self._attempts[request_id, group] = attempt._replace(
-            progress_at=now, progress=1
+            progress_at=now, answer_tokens=1
         )
-        self._discount(group, attempt.uncached)
-        if attempt.uncached > MIN_RATE_TOKENS:
-            self._learn_rate(max(0.0, waited - BASE_S) / attempt.uncached)
+        self._subtract_pending(group, attempt.uncached_tokens)
+        if attempt.uncached_tokens > MIN_PREFILL_TOKENS:
+            self._update_prefill_speed(
+                max(0.0, waited - CACHED_FIRST_TOKEN_S)
+                / attempt.uncached_tokens
+            )
         return True
 
     def note_progress(
         self, request_id: str, group: str, tokens: int, now: float
     ) -> float | None:
-        """Note how many tokens have come.
+        """Record how many tokens of the answer have come.
 
         Returns:
-          The mean time between tokens since the last call in seconds, or
-          None when too few have come.
+          The mean time between tokens in seconds since the last progress
+          that was recorded, or None when fewer than `MIN_DECODED_TOKENS`
+          tokens have come since then.
         """
         attempt = self._attempts.get((request_id, group))
         if attempt is None or attempt.progress_at is None:
             return None
-        count = tokens - attempt.progress
-        if count < MIN_PACE_TOKENS:
+        count = tokens - attempt.answer_tokens
+        if count < MIN_DECODED_TOKENS:
             return None
         self._attempts[request_id, group] = attempt._replace(
-            progress_at=now, progress=tokens
+            progress_at=now, answer_tokens=tokens
         )
         return (now - attempt.progress_at) / count
 
     def finish(self, request_id: str, group: str) -> bool:
-        """Take out an attempt, and tell whether it was in progress."""
+        """Remove an attempt, and return whether it was in progress."""
         attempt = self._attempts.pop((request_id, group), None)
         if attempt is None:
             return False
         if attempt.progress_at is None:
-            self._discount(group, attempt.uncached)
+            self._subtract_pending(group, attempt.uncached_tokens)
         return True
 
-    def _learn_rate(self, seconds: float) -> None:
-        sample = min(seconds, MAX_RATE_SAMPLE * self._s_per_token)
-        self._s_per_token += RATE_WEIGHT * (sample - self._s_per_token)
+    def _update_prefill_speed(self, s_per_token: float) -> None:
+        sample = min(
+            s_per_token, MAX_PREFILL_SAMPLE_RATIO * self._prefill_s_per_token
+        )
+        self._prefill_s_per_token += PREFILL_WEIGHT * (
+            sample - self._prefill_s_per_token
+        )
 
-    def _discount(self, group: str, tokens: float) -> None:
-        left = self._pending.get(group, 0.0) - tokens
-        if left > 0.5:
-            self._pending[group] = left
+    def _subtract_pending(self, group: str, tokens: float) -> None:
+        remaining = self._pending_tokens.get(group, 0.0) - tokens
+        if remaining > 0.5:
+            self._pending_tokens[group] = remaining
         else:
-            self._pending.pop(group, None)
+            self._pending_tokens.pop(group, None)
--- a/chervilrock/decisions/routing/base.py
+++ b/chervilrock/decisions/routing/base.py
@@ -1,8 +1,9 @@
 """Types of the routing decisions and the base class of their policies.
 
-A policy chooses the replica group that gets a request. It learns only from
-the events that the node hands to it: its own requests, the load reports of
-engines, which lag, and their cache events, which come late and with gaps.
+A policy chooses the replica group that receives a request. Its only input is
+the events that the node forwards to it: those of the node's own requests, the
+load reports of engines, which lag, and their cache events, which arrive late
+and with gaps.
 """
 
 import abc
@@ -17,14 +18,14 @@
 """Characters of prompt text in a prefix block."""
 
 PROGRESS_TOKENS = 16
-"""Tokens of an answer between two calls of `RoutingPolicy.on_progress`."""
+"""Least number of tokens between calls of `RoutingPolicy.on_progress`."""
 
 MAX_BLOCKS = 64
-"""Most prefix blocks that are hashed of a prompt."""
+"""Greatest number of prefix blocks of a prompt that are hashed."""
 
 
 class Endpoint(NamedTuple):
-    """A replica group that may get requests now.
+    """A replica group that may receive requests now.
 
     Attributes:
       group: name of the replica group
@@ -48,7 +49,7 @@
 
 
 class RequestView(NamedTuple):
-    """What the decisions know of a request.
+    """The properties of a request that decisions use.
 
     Attributes:
       request_id: identity of the request, unique at this node
@@ -78,9 +79,9 @@
 class RoutingPolicy(abc.ABC):
     """Chooses a replica group for a request.
 
-    The events keep what a policy has learnt up to date. Each does nothing by
-    default, so that a policy takes only those that it needs. All times are
-    seconds of one monotonic clock.
+    The `on_` methods update the state of a policy. They do nothing by
+    default, so a policy overrides only those that it needs. All times are
+    in seconds of one monotonic clock.
     """
 
     @abc.abstractmethod
@@ -92,13 +93,13 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Endpoint | None:
-        """Choose the group that gets a request.
+        """Choose the group that receives a request.
 
         Args:
           request: the request to send.
-          endpoints: the groups that are whole and serving now.
+          endpoints: the groups that are complete and serving now.
           now: present time.
-          exclude: groups that must not get this request, such as those of
+          exclude: groups that must not receive this request, such as those of
             earlier attempts.
 
         Returns:
@@ -109,7 +110,7 @@
     def on_sent(
         self, request: RequestView, endpoint: Endpoint, now: float
     ) -> None:
-        """Learn that an attempt was sent to a group."""
+        """Handle an attempt that was sent to a group."""
         del request, endpoint, now
 
     def on_first_token(
@@ -119,7 +120,7 @@
         now: float,
         waited: float,
     ) -> None:
-        """Learn that the first token came `waited` seconds after sending."""
+        """Handle a first token that came `waited_s` seconds after sending."""
         del request, endpoint, now, waited
 
     def on_progress(
@@ -129,10 +130,10 @@
         now: float,
         tokens: int,
     ) -> None:
-        """Learn that `tokens` tokens of the answer have come so far.
+        """Handle progress: `tokens` tokens of the answer have come so far.
 
-        It is enough to tell every `PROGRESS_TOKENS` tokens. Without it, a
-        group that turns slow is found only when its answers end.
+        One call every `PROGRESS_TOKENS` tokens is enough. Without these calls,
+        a group that becomes slow is detected only when its answers end.
         """
         del request, endpoint, now, tokens
 
@@ -144,33 +145,33 @@
         ok: bool,
         tokens: int,
     ) -> None:
-        """Learn that an attempt ended.
+        """Handle the end of an attempt.
 
         Args:
           request: the request.
-          endpoint: the group that had the attempt.
+          endpoint: the group that the attempt was sent to.
           now: present time.
-          ok: False when the group failed it; True also when the node
-            cancelled it.
-          tokens: tokens of answer that came.
+          ok: False when the attempt failed at the group; True when it
+            completed or the node cancelled it.
+          tokens: number of tokens of the answer that came.
         """
         del request, endpoint, now, ok, tokens
 
     def on_load_report(
         self, group: str, load: interfaces.EngineLoad, now: float
     ) -> None:
-        """Learn from a load report of a group."""
+        """Handle a load report of a group."""
         del group, load, now
 
     def on_cache_event(
         self, group: str, event: interfaces.CacheEvent, now: float
     ) -> None:
-        """Learn that a prefix block entered or left the cache of a group."""
+        """Handle a prefix block that entered or left the cache of a group."""
         del group, event, now
 
 
 def serves(endpoint: Endpoint, request: RequestView) -> bool:
-    """Tell whether a group serves the model and adapter of a request."""
+    """Return whether a group serves the model and adapter of a request."""
     if endpoint.model != request.model:
         return False
     return not request.adapter or request.adapter in endpoint.adapters
@@ -181,7 +182,7 @@
     endpoints: Sequence[Endpoint],
     exclude: frozenset[str],
 ) -> list[Endpoint]:
-    """Keep the groups that serve a request and are not excluded."""
+    """Return the groups that serve a request and are not excluded."""
     return [
         endpoint
         for endpoint in endpoints
@@ -216,12 +217,12 @@
 
 
 def format_block(block: int) -> str:
-    """Write a block hash as cache events carry it, in hexadecimal."""
+    """Format a block hash in hexadecimal, as in cache events."""
     return f"{block:016x}"
 
 
 def parse_block(text: str) -> int | None:
-    """Read a block hash of a cache event, or None when it is malformed."""
+    """Return the block hash of a cache event, or None if it is malformed."""
     try:
         return int(text, 16)
     except ValueError:
--- a/chervilrock/decisions/routing/baselines.py
+++ b/chervilrock/decisions/routing/baselines.py
@@ -1,21 +1,21 @@
-"""Plain policies that the product's policy is compared with."""
+"""Simple routing policies that prefix affinity is compared with."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
 from chervilrock.decisions.routing import base
-from chervilrock.decisions.routing import flights as flight_counts
+from chervilrock.decisions.routing import flights as inflight_counts
 
 if TYPE_CHECKING:
     import random
 
 
 class RoundRobin(base.RoutingPolicy):
-    """Takes the groups in turn."""
+    """Chooses the groups in turn."""
 
     def __init__(self) -> None:
-        """Start with the first group."""
-        self._turn = 0
+        """Create a policy that has not chosen a group yet."""
+        self._next_index = 0
 
     def choose(
         self,
@@ -25,19 +25,23 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> base.Endpoint | None:
-        """Choose the group whose turn it is."""
+        """Choose the next group in turn."""
         candidates = base.filter_endpoints(request, endpoints, exclude)
         if not candidates:
             return None
-        self._turn += 1
-        return candidates[self._turn % len(candidates)]
+        self._next_index += 1
+        return candidates[self._next_index % len(candidates)]
 
 
 class RandomChoice(base.RoutingPolicy):
-    """Takes any group with the same probability."""
+    """Chooses each group with the same probability."""
 
     def __init__(self, *, rng: "random.Random") -> None:
-        """Keep the generator that makes the choices."""
+        """Create a policy.
+
+        Args:
+          rng: generator that makes the random choices.
+        """
         self._rng = rng
 
     def choose(
@@ -55,19 +59,23 @@
         return self._rng.choice(candidates)
 
 
-class _CountingPolicy(base.RoutingPolicy):
-    """Keeps the node's own attempts in progress."""
+class _InFlightPolicy(base.RoutingPolicy):
+    """Counts the node's own attempts in progress at each group."""
 
     def __init__(self, *, rng: "random.Random") -> None:
-        """Keep the generator that makes the choices."""
+        """Create a policy.
+
+        Args:
+          rng: generator that makes the random choices.
+        """
         self._rng = rng
-        self._flights = flight_counts.Flights()
+        self._in_flight = inflight_counts.InFlightAttempts()
 
     def on_sent(
         self, request: base.RequestView, endpoint: base.Endpoint, now: float
     ) -> None:
-        """Count an attempt."""
-        self._flights.add(request.request_id, endpoint.group)
+        """Add an attempt to the counts."""
+        self._in_flight.add(request.request_id, endpoint.group)
 
     def on_done(
         self,
@@ -77,24 +85,26 @@
         ok: bool,
         tokens: int,
     ) -> None:
-        """Count an attempt no longer."""
-        self._flights.discard(request.request_id, endpoint.group)
+        """Remove an attempt from the counts."""
+        self._in_flight.discard(request.request_id, endpoint.group)
 
-    def _least_loaded(
+    def _choose_least_loaded(
         self, candidates: Sequence[base.Endpoint]
     ) -> base.Endpoint:
-        least = min(self._flights.count(entry.group) for entry in candidates)
+        min_count = min(
+            self._in_flight.count(endpoint.group) for endpoint in candidates
+        )
         return self._rng.choice(
             [
-                entry
-                for entry in candidates
-                if self._flights.count(entry.group) == least
+                endpoint
+                for endpoint in candidates
+                if self._in_flight.count(endpoint.group) == min_count
             ]
         )
 
 
-class TwoChoices(_CountingPolicy):
-    """Takes the less loaded of two random groups, by own attempts."""
+class TwoChoices(_InFlightPolicy):
+    """Chooses the one of two random groups with fewer own attempts."""
 
     def choose(
         self,
@@ -104,16 +114,16 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> base.Endpoint | None:
-        """Choose the less loaded of two groups."""
+        """Choose the less loaded of two random groups; break ties at random."""
         candidates = base.filter_endpoints(request, endpoints, exclude)
         if not candidates:
             return None
         pair = self._rng.sample(candidates, min(2, len(candidates)))
-        return self._least_loaded(pair)
+        return self._choose_least_loaded(pair)
 
 
-class LeastInFlight(_CountingPolicy):
-    """Takes the group with the fewest own attempts in progress."""
+class LeastInFlight(_InFlightPolicy):
+    """Chooses the group with the fewest own attempts in progress."""
 
     def choose(
         self,
@@ -123,8 +133,8 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> base.Endpoint | None:
-        """Choose the least loaded group; ties are broken at random."""
+        """Choose the least loaded group; break ties at random."""
         candidates = base.filter_endpoints(request, endpoints, exclude)
         if not candidates:
             return None
-        return self._least_loaded(candidates)
+        return self._choose_least_loaded(candidates)
--- a/chervilrock/decisions/routing/costs.py
+++ b/chervilrock/decisions/routing/costs.py
@@ -1,85 +1,87 @@
 """Cost of sending a request to a group, in prompt tokens to compute.
 
-The cost stands for the time to the first token. A token is the unit, since
-the time for one is the same for all groups of a model but for the slowness
+The cost approximates the time to the first token. Its unit is the token, since
+all groups of a model take the same time for a token except for the slowness
 that a group has shown.
 """
 
 from typing import NamedTuple
 
 BLOCK_TOKENS = 64
-"""Tokens taken for a prefix block of `base.BLOCK_CHARS` characters."""
+"""Estimated tokens in a prefix block of `base.BLOCK_CHARS` characters."""
 
-OWN_TOKENS = 200.0
-"""Cost of an own stream in progress.
+OWN_ATTEMPT_TOKENS = 200.0
+"""Cost of an own attempt in progress, in addition to `ANY_ATTEMPT_TOKENS`.
 
-It is much more than that of a reported one: own streams are counted without
-delay, and when every node spreads its own evenly, the sum is even as well.
+It is much more than the cost of a reported attempt: own attempts are counted
+without delay, and when every node balances its own, the sum is balanced too.
 """
 
-STREAM_TOKENS = 20.0
-"""Cost of a stream in progress at the group, as last reported."""
+ANY_ATTEMPT_TOKENS = 20.0
+"""Cost of an attempt of any node in progress, as last reported."""
 
-WAITING_TOKENS = 400.0
+WAITING_REQUEST_TOKENS = 400.0
 """Cost of a request that waits at the engine."""
 
-FULL_TOKENS = 600.0
-"""Cost of a full batch or memory."""
+FULL_GROUP_TOKENS = 600.0
+"""Cost of a full batch or KV cache."""
 
-REMOTE_TOKENS = 15.0
-"""Cost of another data centre (about a millisecond)."""
+REMOTE_GROUP_TOKENS = 15.0
+"""Cost of a group in another data centre, about a millisecond."""
 
-SPREAD_TOKENS = 32.0
-"""Greatest cost by which hashing prefers one group to another.
+RENDEZVOUS_TOKENS = 32.0
+"""Greatest cost by which rendezvous hashing prefers one group to another.
 
-It makes nodes that know nothing of a prefix choose the same group for it.
+It makes nodes without data on a prefix choose the same group for it.
 """
 
 MAX_SLOWNESS = 4.0
 
 
 class GroupState(NamedTuple):
-    """What a node believes of a group, for one request.
+    """Estimated state of a group, for one request.
 
     Attributes:
-      uncached: prompt tokens of the request that the group has to compute
-      pending: tokens of own prompts that wait for their first token there
-      own: own streams
-      streams: streams of all nodes
-      waiting: requests that wait at the engine
-      full: whether the batch or the memory is full
-      slowness: time for a token, in those of the median group
-      remote: whether it is in another data centre
-      spread: number from 0 to 1 that all nodes draw alike for the prefix
+      uncached_tokens: prompt tokens that the group has to compute
+      pending_tokens: tokens of own prompts that await their first token there
+      own_attempts: own attempts in progress
+      total_attempts: attempts of all nodes in progress
+      waiting_requests: requests that wait at the engine
+      is_full: whether the batch or the KV cache is full
+      slowness: token time as a multiple of that of the median group
+      is_remote: whether it is in another data centre
+      rendezvous: hash of prefix and group from 0 to 1, equal at all nodes
     """
 
-    uncached: float
-    pending: float
-    own: int
-    streams: float
-    waiting: int
-    full: bool
+    uncached_tokens: float
+    pending_tokens: float
+    own_attempts: int
+    total_attempts: float
+    waiting_requests: int
+    is_full: bool
     slowness: float
-    remote: bool
-    spread: float
+    is_remote: bool
+    rendezvous: float
 
 
 def estimate_cost(state: GroupState) -> float:
     """Return the cost of a group in prompt tokens."""
     tokens = (
-        state.uncached
-        + state.pending
-        + OWN_TOKENS * state.own
-        + STREAM_TOKENS * state.streams
-        + WAITING_TOKENS * state.waiting
+        state.uncached_tokens
+        + state.pending_tokens
+        + OWN_ATTEMPT_TOKENS * state.own_attempts
+        + ANY_ATTEMPT_TOKENS * state.total_attempts
+        + WAITING_REQUEST_TOKENS * state.waiting_requests
     )
-    if state.full:
-        tokens += FULL_TOKENS
+    if state.is_full:
+        tokens += FULL_GROUP_TOKENS
     slowness = min(MAX_SLOWNESS, max(1.0, state.slowness))
-    distance = REMOTE_TOKENS if state.remote else 0.0
-    return tokens * slowness + distance + SPREAD_TOKENS * state.spread
+    remote_tokens = REMOTE_GROUP_TOKENS if state.is_remote else 0.0
+    return (
+        tokens * slowness + remote_tokens + RENDEZVOUS_TOKENS * state.rendezvous
+    )
 
 
 def count_uncached(prompt_tokens: int, cached_blocks: int) -> float:
-    """Return the prompt tokens that are to be computed, at least one."""
+    """Return the number of prompt tokens to compute, at least one."""
     return float(max(1, prompt_tokens - cached_blocks * BLOCK_TOKENS))
--- a/test/decisions/routing/test_beliefs.py
+++ b/test/decisions/routing/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What the policy believes of groups, and when it forgets it."""
+"""Estimates of the state of groups: their updates and their expiry."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def load():
-    return loads.Loads()
+    return loads.GroupLoads()
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
     return prefixes.PrefixIndex(capacity=100)
 
 
-def test_report_is_compared_with_own_counts_of_its_time(load):
+def test_own_attempts_at_the_time_of_a_report_are_subtracted_from_it(load):
     load.add("1", "g", 0.0)
     load.add("2", "g", 5.0)
     load.on_report("g", make_load(10, age_ms=1000), 5.5)
@@ -53,22 +53,22 @@
 
 def test_report_expires(load):
     load.on_report("g", make_load(4), 0.0)
-    expired = load.estimate("g", loads.LIFETIME_S + 0.1)
+    expired = load.estimate("g", loads.REPORT_LIFETIME_S + 0.1)
     assert_that(expired is None, Equals(True))
 
 
-def test_full_memory_is_full(load):
+def test_group_with_full_kv_cache_counts_as_full(load):
     load.on_report("g", make_load(4, cache_used=0.95), 0.0)
     assert_that(load.is_full("g", 0.1), Equals(True))
 
 
 def test_end_that_comes_twice_is_counted_once():
-    counts = flights.Flights()
-    counts.add("1", "g")
-    counts.add("2", "g")
-    assert_that(counts.discard("1", "g"), Equals(True))
-    assert_that(counts.discard("1", "g"), Equals(False))
-    assert_that(counts.count("g"), Equals(1))
+    in_flight = flights.InFlightAttempts()
+    in_flight.add("1", "g")
+    in_flight.add("2", "g")
+    assert_that(in_flight.discard("1", "g"), Equals(True))
+    assert_that(in_flight.discard("1", "g"), Equals(False))
+    assert_that(in_flight.count("g"), Equals(1))
 
 
 def test_index_stays_within_its_capacity(index):
@@ -80,45 +80,45 @@
 def test_entry_of_the_index_expires(index):
     index.add_prompt((1, 2, 3), "g", 0.0)
     assert_that(index.match((1, 2, 3), 1.0), Equals({"g": 3}))
-    later = prefixes.LIFETIME_S + 1.0
+    later = prefixes.ENTRY_LIFETIME_S + 1.0
     assert_that(len(index.match((1, 2, 3), later)), Equals(0))
 
 
-def test_dropped_block_no_longer_counts(index):
+def test_evicted_block_is_no_longer_matched(index):
     index.add_prompt((1, 2, 3), "g", 0.0)
     index.discard(3, "g")
     assert_that(index.match((1, 2, 3), 1.0), Equals({"g": 1}))
 
 
-def test_groups_with_new_hosts_or_gone_for_long_are_forgotten():
-    known = known_groups.KnownGroups()
-    both = [make_endpoint("a"), make_endpoint("b")]
-    assert_that(len(known.follow(both, 0.0)), Equals(0))
+def test_groups_with_new_hosts_or_unlisted_for_long_are_forgotten():
+    registry = known_groups.KnownGroups()
+    listed = [make_endpoint("a"), make_endpoint("b")]
+    assert_that(len(registry.update(listed, 0.0)), Equals(0))
     repaired = [make_endpoint("a", fence=2)]
-    assert_that(known.follow(repaired, 1.0), Equals(["a"]))
-    later = known_groups.FORGET_S + 2.0
-    assert_that(known.follow(repaired, later), Equals(["b"]))
+    assert_that(registry.update(repaired, 1.0), Equals(["a"]))
+    later = known_groups.FORGET_AFTER_S + 2.0
+    assert_that(registry.update(repaired, later), Equals(["b"]))
 
 
 def test_prompt_without_first_token_counts_as_pending():
-    made = attempts.Attempts()
-    made.start("1", "g", 500.0)
-    expected = made.start("2", "g", 100.0)
-    assert_that(made.pending_tokens("g"), Equals(600.0))
-    assert_that(attempts.BASE_S, LessThan(expected))
-    made.note_first_token("1", "g", 0.1, 0.1)
-    made.finish("2", "g")
-    assert_that(made.pending_tokens("g"), Equals(0.0))
-
-
-def test_pace_is_measured_since_the_last_progress():
-    made = attempts.Attempts()
-    made.start("1", "g", 500.0)
-    made.note_first_token("1", "g", 0.5, 1.0)
-    too_few = made.note_progress("1", "g", 2, 1.1)
+    tracker = attempts.AttemptTracker()
+    tracker.start("1", "g", 500.0)
+    expected_s = tracker.start("2", "g", 100.0)
+    assert_that(tracker.count_pending_tokens("g"), Equals(600.0))
+    assert_that(attempts.CACHED_FIRST_TOKEN_S, LessThan(expected_s))
+    tracker.note_first_token("1", "g", 0.1, 0.1)
+    tracker.finish("2", "g")
+    assert_that(tracker.count_pending_tokens("g"), Equals(0.0))
+
+
+def test_time_between_tokens_is_measured_since_the_last_progress():
+    tracker = attempts.AttemptTracker()
+    tracker.start("1", "g", 500.0)
+    tracker.note_first_token("1", "g", 0.5, 1.0)
+    too_few = tracker.note_progress("1", "g", 2, 1.1)
     assert_that(too_few is None, Equals(True))
-    first = made.note_progress("1", "g", 9, 3.0)
-    second = made.note_progress("1", "g", 17, 4.0)
+    first = tracker.note_progress("1", "g", 9, 3.0)
+    second = tracker.note_progress("1", "g", 17, 4.0)
     assert first is not None
     assert second is not None
     assert_that([first, second], Equals([0.25, 0.125]))
--- a/test/decisions/routing/test_policies.py
+++ b/test/decisions/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""Promises that every routing policy keeps."""
+"""Guarantees of every routing policy, and behaviour of prefix affinity."""
 
 import random
 
@@ -56,7 +56,7 @@
 
 
 def serve(policy, request, endpoint, now, *, waited=0.05, per_token=0.02):
-    """Let a group answer a request with ten tokens."""
+    """Record an attempt that a group answers with ten tokens."""
     policy.on_sent(request, endpoint, now)
     policy.on_first_token(request, endpoint, now + waited, waited)
     end = now + waited + 9 * per_token
@@ -71,10 +71,10 @@
         adapters=st.sampled_from([(), ("a",)]),
         fence=st.integers(1, 3),
     ),
-    unique_by=lambda each: each.group,
+    unique_by=lambda endpoint: endpoint.group,
     max_size=20,
 )
-events = st.lists(
+event_lists = st.lists(
     st.tuples(
         st.sampled_from(["sent", "first", "failed", "done", "load", "cache"]),
         st.integers(0, 30),
@@ -85,9 +85,9 @@
 )
 
 
-def apply_events(policy, drawn):
+def apply_events(policy, drawn_events):
     now = 0.0
-    for kind, group, number, seconds in drawn:
+    for kind, group, number, seconds in drawn_events:
         now += seconds
         endpoint = make_endpoint(group)
         request = make_view(str(number))
@@ -115,15 +115,15 @@
 @pytest.mark.parametrize("name", POLICIES)
 @given(
     endpoints=endpoint_lists,
-    drawn=events,
+    drawn_events=event_lists,
     excluded=st.frozensets(st.integers(0, 30).map("g{}".format)),
     adapter=st.sampled_from(["", "a"]),
 )
 def test_choice_is_listed_serves_the_request_and_is_not_excluded(
-    name, endpoints, drawn, excluded, adapter
+    name, endpoints, drawn_events, excluded, adapter
 ):
     policy = POLICIES[name](random.Random(1))
-    now = apply_events(policy, drawn)
+    now = apply_events(policy, drawn_events)
     request = make_view(adapter=adapter)
     allowed = base.filter_endpoints(request, endpoints, excluded)
     chosen = policy.choose(request, endpoints, now, exclude=excluded)
@@ -145,7 +145,7 @@
 
 
 @given(st.integers(0, 2**64 - 1))
-def test_block_hashes_survive_cache_events(block):
+def test_block_hash_is_unchanged_by_formatting_and_parsing(block):
     assert_that(base.parse_block(base.format_block(block)), Equals(block))
 
 
@@ -160,13 +160,13 @@
     chosen = policy.choose(first, endpoints, 0.0)
     serve(policy, first, chosen, 0.0)
     second = make_view("2", prefix_blocks=tuple(range(25)), prompt_tokens=1600)
-    again = policy.choose(second, endpoints, 5.0)
-    assert_that(again, Equals(chosen))
+    next_chosen = policy.choose(second, endpoints, 5.0)
+    assert_that(next_chosen, Equals(chosen))
 
 
 def test_popular_prefix_spreads_over_groups_under_load(policy):
     endpoints = [make_endpoint(i) for i in range(10)]
-    counts = dict.fromkeys([each.group for each in endpoints], 0)
+    counts = dict.fromkeys([endpoint.group for endpoint in endpoints], 0)
     for number in range(100):
         request = make_view(str(number), prompt_tokens=2000)
         chosen = policy.choose(request, endpoints, 0.0)
@@ -181,23 +181,24 @@
     chosen = policy.choose(request, endpoints, 0.0)
     serve(policy, request, chosen, 0.0)
     repaired = [
-        each._replace(fence=9) if each == chosen else each for each in endpoints
+        endpoint._replace(fence=9) if endpoint == chosen else endpoint
+        for endpoint in endpoints
     ]
-    before = policy._index.match(request.prefix_blocks, 1.0)
+    before = policy._prefix_index.match(request.prefix_blocks, 1.0)
     policy.choose(request, repaired, 1.0)
-    after = policy._index.match(request.prefix_blocks, 1.0)
+    after = policy._prefix_index.match(request.prefix_blocks, 1.0)
     assert_that(list(before), Equals([chosen.group]))
     assert_that(after, Equals({}))
 
 
-def drive(policy, endpoints, slow, now, rounds):
-    """Send rounds of requests; return how many the slow group got."""
+def send_rounds(policy, endpoints, slow_group, now, rounds):
+    """Send one request a round; return how many "g2" got, and the time."""
     hits = 0
     for number in range(rounds):
         now += 0.1
         request = make_view(f"{now}-{number}", prefix_blocks=())
         chosen = policy.choose(request, endpoints, now)
-        is_slow = chosen.group == slow
+        is_slow = chosen.group == slow_group
         hits += chosen.group == "g2"
         serve(
             policy,
@@ -210,31 +211,31 @@
     return hits, now
 
 
-def test_straggler_is_ejected_and_comes_back(policy):
+def test_straggler_is_ejected_and_readmitted_after_recovery(policy):
     endpoints = [make_endpoint(i) for i in range(6)]
-    _, now = drive(policy, endpoints, None, 0.0, 120)
-    _, now = drive(policy, endpoints, "g2", now, 300)
+    _, now = send_rounds(policy, endpoints, None, 0.0, 120)
+    _, now = send_rounds(policy, endpoints, "g2", now, 300)
     assert_that(policy._stragglers.ejected(), Contains("g2"))
-    hits, now = drive(policy, endpoints, "g2", now, 200)
+    hits, now = send_rounds(policy, endpoints, "g2", now, 200)
     assert_that(hits, LessThan(8))
     assert_that(hits, GreaterThan(0))
-    _, now = drive(policy, endpoints, None, now, 300)
+    _, now = send_rounds(policy, endpoints, None, now, 300)
     assert_that(policy._stragglers.ejected(), Equals(frozenset()))
-    hits, now = drive(policy, endpoints, None, now, 200)
+    hits, now = send_rounds(policy, endpoints, None, now, 200)
     assert_that(hits, GreaterThan(20))
 
 
-def test_silent_group_is_ejected_without_any_answer(policy):
+def test_stalled_group_is_ejected_without_any_answer(policy):
     endpoints = [make_endpoint(i) for i in range(6)]
     policy.on_sent(make_view("silent"), endpoints[4], 0.0)
-    _, now = drive(policy, endpoints, None, 0.0, 60)
+    _, now = send_rounds(policy, endpoints, None, 0.0, 60)
     assert_that(policy._stragglers.ejected(), Contains("g4"))
 
 
-def test_request_that_may_not_run_twice_is_no_probe(policy):
+def test_request_that_is_not_idempotent_is_never_a_probe(policy):
     endpoints = [make_endpoint(i) for i in range(6)]
-    _, now = drive(policy, endpoints, None, 0.0, 60)
-    _, now = drive(policy, endpoints, "g2", now, 300)
+    _, now = send_rounds(policy, endpoints, None, 0.0, 60)
+    _, now = send_rounds(policy, endpoints, "g2", now, 300)
     for number in range(50):
         now += 1.0
         request = make_view(f"once{number}", idempotent=False, prefix_blocks=())
--- a/test/decisions/routing/test_queue_model.py
+++ b/test/decisions/routing/test_queue_model.py
@@ -1,4 +1,4 @@
-"""The model of an engine that the bench of routing rests on."""
+"""Queueing model of an engine that the routing benchmark uses."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -24,7 +24,7 @@
 
 
 def run(engine):
-    """Run until idle; return attempts by first and by last token."""
+    """Run until idle; return the attempts by first token and by last token."""
     first = []
     finished = []
     while not engine.is_idle():
@@ -63,7 +63,7 @@
     assert_that(first, Equals([2, 1]))
 
 
-def test_cancelled_request_gets_no_token_and_holds_no_room(engine):
+def test_cancelled_request_gets_no_token_and_holds_no_memory(engine):
     for attempt in range(40):
         engine.submit(make_job(attempt))
     engine.step()
