--- a/chervilrock/decisions/control/__init__.py
+++ b/chervilrock/decisions/control/__init__.py
@@ -1,1 +1,1 @@
-"""What the controller of a region does about hosts and groups."""
+"""Decisions of a region's controller about hosts and groups."""
--- a/chervilrock/decisions/control/context.py
+++ b/chervilrock/decisions/control/context.py
@@ -1,4 +1,4 @@
-"""Everything that one decision of the controller looks at."""
+"""State and input of one decision of the controller."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -15,16 +15,20 @@
 
 
 class ControlTiming(NamedTuple):
-    """Waiting times of the controller, in seconds.
+    """Timeouts and delays of the controller, in seconds.
 
     Attributes:
-      order_timeout_s: longest time for which an order may be under way
-      drain_settle_s: time in which every node has read that a group drains
-      drain_limit_s: longest wait for the requests of a draining group
-      lost_after_s: absence after which the requests of a group are lost
-      quarantine_after_s: time for which a host may fail to prove itself empty
-      rollout_pause_s: time for which the groups of a model must stand still
-        before one more is taken down while some are missing
+      order_timeout_s: longest time for which an order may be in flight
+      drain_settle_s: time within which every node has read that a group is
+        draining
+      drain_limit_s: longest wait for the requests of a draining group to
+        complete
+      lost_after_s: absence of a host after which the requests of its group are
+        lost
+      quarantine_after_s: time after which a host that is not proved empty is
+        quarantined
+      rollout_pause_s: time for which the groups of a model must stay unchanged
+        before another one is taken down while some are missing
     """
 
     order_timeout_s: float = 2.0
@@ -39,19 +43,20 @@
     """State and input of one decision.
 
     Attributes:
-      region: folded state of the region
-      models: wanted models by name
+      region: state of the region, folded from its stream
+      models: configured models by name
       revision: configuration revision in force
       presence: evidence of the hosts
       hosts: host list by name
-      actions: what the planner asks for
-      progress: what is under way
+      actions: actions that the planner requests
+      progress: pending records and orders
       idle: names of draining groups without requests
-      quiet_at: time from which no order of an earlier controller is under way
-      until: end of the lease
-      timing: waiting times
-      now: present time in seconds
-      wholes: answers of `is_whole` so far, by name and fencing number
+      quiet_at: time from which no order of an earlier controller is in
+        flight
+      lease_ends_at: end of the controller's lease
+      timing: timeouts and delays
+      now: current time in seconds
+      whole_groups: cached results of `is_whole`, by name and fencing number
     """
 
     region: RegionState
@@ -73,9 +78,9 @@
         return self.presence.find(host, self.now)
 
     def checks_fence(self, host: str) -> bool:
-        """Return whether the engine surely refuses old fencing numbers.
+        """Return whether the engine is known to reject old fencing numbers.
 
-        Both the host list and the engine must say so.
+        Both the host list and the engine must report it.
         """
         entry = self.hosts.get(host)
         evidence = self.presence.find_last(host)
@@ -96,7 +101,7 @@
         return group.phase is GroupPhase.SERVING and self.is_whole(group)
 
     def has_leaving(self, group: Group) -> bool:
-        """Return whether the host list says that a host of it is leaving."""
+        """Return whether the host list marks a host of the group as leaving."""
         entries = (self.hosts.get(host) for host in group.hosts)
         return any(entry is not None and entry["leaving"] for entry in entries)
 
--- a/chervilrock/decisions/control/effects.py
+++ b/chervilrock/decisions/control/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the controller asks for."""
+"""Effects that the controller requests."""
 
 from typing import NamedTuple
 
@@ -20,8 +20,8 @@
     Attributes:
       host: name of the host
       address: IP:port of its engine
-      order: what the engine shall do
-      valid_until: time after which the order must not leave any more
+      order: order for the engine
+      valid_until: time after which the order must not be sent any more
     """
 
     host: str
--- a/chervilrock/decisions/control/loading.py
+++ b/chervilrock/decisions/control/loading.py
@@ -1,4 +1,4 @@
-"""Groups that load, and groups whose engines were restarted."""
+"""Loading of groups, and reloading after an engine was restarted."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
     Effect,
     SendOrder,
 )
-from chervilrock.decisions.control.progress import Watch
+from chervilrock.decisions.control.progress import WatchKind
 from chervilrock.decisions.ownership import Group
 from chervilrock.decisions.shards import order_load
 from chervilrock.generated.records import (
@@ -25,7 +25,7 @@
     phase: GroupPhase,
     incarnations: tuple[str, ...] = (),
 ) -> Iterator[AppendRecord]:
-    """Yield the record for another phase unless it is under way."""
+    """Yield the record of a phase change unless one is pending."""
     body = GroupPhaseChanged(
         epoch=context.region.epoch,
         group=group.name,
@@ -44,7 +44,7 @@
     domain: str,
     reserve: int = 0,
 ) -> Iterator[AppendRecord]:
-    """Yield the record for a repair unless one is under way."""
+    """Yield the record of a repair unless one is pending."""
     body = GroupRepaired(
         epoch=context.region.epoch,
         group=group.name,
@@ -58,7 +58,7 @@
 
 
 def load_group(context: ControlContext, group: Group) -> Iterator[Effect]:
-    """Yield the orders of a loading group, or the record that it serves."""
+    """Yield load orders for a group, or its change to serving once complete."""
     if context.is_whole(group):
         incarnations = context.presence.find_incarnations(group.hosts)
         yield from change_phase(
@@ -75,7 +75,7 @@
 def adopt_reserve(
     context: ControlContext, group: Group
 ) -> Iterator[AppendRecord]:
-    """Yield the records for a repair that was done while the log was out."""
+    """Yield the records of a repair made while the log was unavailable."""
     repaired = context.presence.compose_reserve(group, context.now)
     if repaired is None or not context.is_whole(repaired):
         return
@@ -92,8 +92,8 @@
 ) -> Iterator[AppendRecord]:
     """Yield a repair with the same hosts after an engine was restarted.
 
-    An engine that lost its shard is out of step with the other ranks, so all
-    of them get a new fencing number.
+    An engine that lost its shard is inconsistent with the other ranks, so
+    all of them get a new fencing number.
     """
     if is_restarted(context, group):
         yield from repair(context, group, group.hosts, group.domain)
@@ -103,10 +103,10 @@
     """Return whether all hosts are present but one lost its shard."""
     value = (group.fence, group.phase)
     since = context.progress.stable_since(
-        Watch.GROUP, group.name, value, context.now
+        WatchKind.GROUP, group.name, value, context.now
     )
     found = [context.find_evidence(host) for host in group.hosts]
-    if any(one is None or one.sent_at <= since for one in found):
+    if any(evidence is None or evidence.sent_at <= since for evidence in found):
         return False
     return not context.is_whole(group)
 
--- a/chervilrock/decisions/control/progress.py
+++ b/chervilrock/decisions/control/progress.py
@@ -1,8 +1,8 @@
-"""What the controller has under way: records, orders and waiting times.
+"""Pending records, orders and waiting times of the controller.
 
-It is the memory of one process and is lost with it. Losing it is safe: a
-record that is appended twice is rejected the second time, an order is sent
-again, and a wait starts anew.
+This state is kept in memory and is lost when the process ends. Losing it is
+safe: a record that is appended twice is rejected the second time, an order is
+sent again, and a waiting time starts again.
 """
 
 from collections.abc import Hashable, Iterator
@@ -21,11 +21,11 @@
 
 
 class BodyKey(NamedTuple):
-    """What two records must share to mean the same step.
+    """Fields that are equal in two records of the same step.
 
     Attributes:
       subject: group or host
-      fence: fencing number that the record names, 0 for none
+      fence: fencing number in the record, 0 for none
       phase: phase that a group enters, empty for none
     """
 
@@ -36,7 +36,7 @@
 
 
 class PendingRecord(NamedTuple):
-    """A record that was appended and not yet read back."""
+    """A record that was appended but not yet read back from the log."""
 
     body: Body
     record_id: RecordId
@@ -47,17 +47,17 @@
     """The last order to a host.
 
     Attributes:
-      tries: how often this same order was sent
+      attempts: how often the same order was sent
       sent_at: when it was sent last
     """
 
     order: EngineOrder
-    tries: int
+    attempts: int
     sent_at: float
 
 
-class Watch(enum.StrEnum):
-    """What is watched for how long it stays the same."""
+class WatchKind(enum.StrEnum):
+    """Kind of a value that is watched for changes."""
 
     GROUP = "group"
     DRAIN = "drain"
@@ -66,9 +66,9 @@
 
 
 class WatchKey(NamedTuple):
-    """A watched group, model or host, by its name."""
+    """A watched group, model or host, identified by its name."""
 
-    watch: Watch
+    kind: WatchKind
     name: str
 
 
@@ -80,7 +80,7 @@
 
 
 def find_key(body: Body) -> BodyKey:
-    """Return what identifies the step that a record takes."""
+    """Return the key of the step that a record makes."""
     group: str = getattr(body, "group", "")
     host: str = getattr(body, "host", "")
     fence: int = getattr(body, "fence", 0)
@@ -89,12 +89,12 @@
 
 
 class Progress:
-    """Records and orders of the controller that are under way.
+    """Pending records and orders of the controller.
 
     Attributes:
-      grants: number of grants that this process has appended
-      compositions: hosts by rank that were chosen for the reserve fencing
-        number of a group; chosen once and never changed
+      grants: number of group grants that this process has appended
+      compositions: hosts by rank, for each reserve fencing number of a
+        group; chosen once and never changed
     """
 
     def __init__(
@@ -104,14 +104,14 @@
         retry_s: float = 0.5,
         retry_limit_s: float = 8.0,
     ) -> None:
-        """Start with nothing under way.
+        """Create a state without pending records and orders.
 
         Args:
           pending_s: time after which a record that was not read back may be
-            appended anew.
-          retry_s: time before an order is sent for the second time; doubles
-            with each try.
-          retry_limit_s: greatest time between two tries.
+            appended again.
+          retry_s: delay before an order is sent for the second time; doubles
+            with each attempt.
+          retry_limit_s: greatest delay between two attempts.
         """
         self.grants = 0
         self.compositions: dict[int, tuple[str, ...]] = {}
@@ -128,7 +128,7 @@
     def note_appended(
         self, body: Body, record_id: RecordId, now: float
     ) -> None:
-        """Note that a record is being appended."""
+        """Record that a record is being appended."""
         if isinstance(body, GroupGranted):
             self.grants += 1
         key = find_key(body)
@@ -139,46 +139,46 @@
         self._keys[record_id] = key
 
     def note_read(self, record_id: RecordId) -> None:
-        """Note that a record was read back, whatever came of it."""
+        """Record that a record was read back, whether accepted or not."""
         key = self._keys.pop(record_id, None)
         if key is not None:
             del self._pending[key]
 
     def is_pending(self, body: Body, now: float) -> bool:
-        """Return whether a record for the same step is under way."""
+        """Return whether a record of the same step is pending."""
         pending = self._pending.get(find_key(body))
         return pending is not None and now < pending.since + self._pending_s
 
-    def list_compositions(
+    def list_assignments(
         self, now: float
     ) -> Iterator[GroupGranted | GroupRepaired]:
-        """Yield the records under way that give a group its hosts."""
+        """Yield the pending records that assign hosts to a group."""
         for body in self._list_bodies(now):
             if isinstance(body, GroupGranted | GroupRepaired):
                 yield body
 
-    def find_claimed(self, now: float) -> set[str]:
-        """Return the hosts that records under way give to a group."""
-        claimed: set[str] = set()
+    def find_assigned_hosts(self, now: float) -> set[str]:
+        """Return the hosts that pending records assign to a group."""
+        assigned: set[str] = set()
         for body in self._list_bodies(now):
             if isinstance(body, GroupGranted | GroupRepaired):
-                claimed.update(body.hosts)
+                assigned.update(body.hosts)
             elif isinstance(body, SparesGranted):
-                claimed.update(body.spares)
-        return claimed
+                assigned.update(body.spares)
+        return assigned
 
     def _list_bodies(self, now: float) -> Iterator[Body]:
-        """Yield the bodies of the records that count as under way."""
+        """Yield the bodies of the records that count as pending."""
         for pending in self._pending.values():
             if now < pending.since + self._pending_s:
                 yield pending.body
 
     def note_ordered(self, effect: SendOrder, now: float) -> None:
-        """Note that an order is being sent."""
+        """Record that an order is being sent."""
         last = self._orders.get(effect.host)
         same = last is not None and last.order == effect.order
-        tries = last.tries + 1 if last is not None and same else 1
-        self._orders[effect.host] = SentOrder(effect.order, tries, now)
+        attempts = last.attempts + 1 if last is not None and same else 1
+        self._orders[effect.host] = SentOrder(effect.order, attempts, now)
         if effect.order.get("shard") is not None:
             self._loads[effect.host] = now
             self._unloads.pop(effect.host, None)
@@ -190,12 +190,12 @@
         accepted: bool | None,
         sent_at: float,
     ) -> None:
-        """Note the answer to an order.
+        """Record the answer to an order.
 
         Args:
           host: name of the host.
           order: the order that was sent.
-          accepted: None when no valid answer came.
+          accepted: None when no valid answer was received.
           sent_at: when the order was sent, in seconds.
         """
         if not accepted or order.get("shard") is not None:
@@ -204,46 +204,49 @@
             self._unloads[host] = sent_at
 
     def is_due(self, host: str, order: EngineOrder, now: float) -> bool:
-        """Return whether an order may be sent, first or again."""
+        """Return whether an order may be sent now, new or as a retry."""
         last = self._orders.get(host)
         if last is None or last.order != order:
             return True
-        wait = min(self._retry_s * 2 ** (last.tries - 1), self._retry_limit_s)
+        wait = min(
+            self._retry_s * 2 ** (last.attempts - 1), self._retry_limit_s
+        )
         return bool(now >= last.sent_at + wait)
 
-    def find_load(self, host: str) -> float | None:
+    def find_load_time(self, host: str) -> float | None:
         """Return when this process last ordered the host to load."""
         return self._loads.get(host)
 
-    def find_unload(self, host: str) -> float | None:
+    def find_unload_time(self, host: str) -> float | None:
         """Return when the last confirmed order to unload was sent.
 
         Returns:
-          None when there is none after the last order to load.
+          Time in seconds; None if the last order to load is newer or no
+          order to unload was confirmed.
         """
         return self._unloads.get(host)
 
     def stable_since(
-        self, watch: Watch, name: str, value: Hashable, now: float
+        self, kind: WatchKind, name: str, value: Hashable, now: float
     ) -> float:
-        """Return since when this process has seen this value."""
-        key = WatchKey(watch, name)
+        """Return the time since which this process has seen this value."""
+        key = WatchKey(kind, name)
         last = self._stable.get(key)
         if last is None or last.value != value:
             last = self._stable[key] = StableValue(value, now)
         return last.since
 
     def retain(self, hosts: set[str], groups: set[str]) -> None:
-        """Forget all hosts and groups but these."""
+        """Remove all hosts and groups except the given ones."""
         for host in self._orders.keys() - hosts:
             del self._orders[host]
             self._loads.pop(host, None)
             self._unloads.pop(host, None)
         kept = {
-            Watch.GROUP: groups,
-            Watch.DRAIN: groups,
-            Watch.REVOCATION: hosts,
+            WatchKind.GROUP: groups,
+            WatchKind.DRAIN: groups,
+            WatchKind.REVOCATION: hosts,
         }
         for key in list(self._stable):
-            if key.watch in kept and key.name not in kept[key.watch]:
+            if key.kind in kept and key.name not in kept[key.kind]:
                 del self._stable[key]
--- a/chervilrock/decisions/control/release.py
+++ b/chervilrock/decisions/control/release.py
@@ -1,13 +1,13 @@
-"""Hosts that left a group: unload them, prove them empty, free them.
-
-An engine that refuses old fencing numbers is proved empty when it shows that
-it is empty and has seen the number of the record that ended its use: no order
-of an earlier owner takes effect after that. An engine forgets that number when
-it restarts, so the host is released only when no order to load can be under
-way any more. For any other engine a number proves nothing. It is proved empty
-by an order to unload that was sent when the leases of all earlier controllers
-were surely over and no order to load could be under way, that the engine
-confirmed, and that was followed by a probe which shows it empty.
+"""Release of hosts that left a group: unload, prove empty, free.
+
+An engine that rejects old fencing numbers is proved empty when it reports that
+it is empty and has seen the number of the record that revoked its ownership: no
+order of an earlier owner takes effect after that. An engine loses that number
+when it restarts, so the host is released only when no order to load can be in
+flight any more. For any other engine a fencing number proves nothing. It is
+proved empty by an order to unload that was sent when the leases of all earlier
+controllers had certainly expired and no order to load could be in flight, that
+the engine confirmed, and that was followed by a probe which shows it empty.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
     Effect,
     SendOrder,
 )
-from chervilrock.decisions.control.progress import Watch
+from chervilrock.decisions.control.progress import WatchKind
 from chervilrock.decisions.evidence import Evidence
 from chervilrock.decisions.ownership import Ownership
 from chervilrock.decisions.records import Body
@@ -36,13 +36,13 @@
 
 
 def release_hosts(context: ControlContext) -> Iterator[Effect]:
-    """Yield the steps for hosts that left their group."""
+    """Yield the effects that release hosts which left their group."""
     for host in context.region.revoked:
         yield from _release_host(context, host)
 
 
 def clear_hosts(context: ControlContext) -> Iterator[Effect]:
-    """Yield the steps for quarantined hosts that came back."""
+    """Yield the effects that clear quarantined hosts once proved empty."""
     for host in context.region.quarantined:
         ownership = context.region.owners[host]
         if is_proved_empty(context, host, ownership):
@@ -55,16 +55,16 @@
 
 
 def empty_strays(context: ControlContext) -> Iterator[Effect]:
-    """Yield orders to unload free hosts that hold something all the same.
+    """Yield orders to unload free hosts that still hold a shard.
 
-    Only an engine that does not check numbers needs this; any other one is
-    emptied by its next order to load.
+    Only an engine that does not check fencing numbers needs this; any other
+    engine is emptied by its next order to load.
     """
     if context.now < context.quiet_at:
         return
-    claimed = context.progress.find_claimed(context.now)
+    assigned = context.progress.find_assigned_hosts(context.now)
     for host in context.hosts:
-        if host in claimed or not context.region.is_free(host):
+        if host in assigned or not context.region.is_free(host):
             continue
         evidence = context.find_evidence(host)
         if evidence is None or evidence.own_shard is None:
@@ -78,7 +78,7 @@
 def is_proved_empty(
     context: ControlContext, host: str, ownership: Ownership
 ) -> bool:
-    """Return whether a host holds nothing and no old order can change that."""
+    """Return whether a host is empty and no earlier order can change that."""
     evidence = context.find_evidence(host)
     if evidence is None or not _is_empty(evidence):
         return False
@@ -86,15 +86,15 @@
     if context.checks_fence(host):
         seen = evidence.fence >= ownership.revoked
         return seen and context.now >= quiet_at
-    unloaded_at = context.progress.find_unload(host)
+    unloaded_at = context.progress.find_unload_time(host)
     if unloaded_at is None or unloaded_at < quiet_at:
         return False
     return evidence.sent_at > unloaded_at
 
 
 def find_quiet(context: ControlContext, host: str) -> float:
-    """Return the time from which no order to load can be under way."""
-    loaded_at = context.progress.find_load(host)
+    """Return the time from which no order to load can be in flight."""
+    loaded_at = context.progress.find_load_time(host)
     if loaded_at is None:
         return context.quiet_at
     return max(context.quiet_at, loaded_at + context.timing.order_timeout_s)
@@ -107,7 +107,7 @@
         yield from _append(context, HostReleased(epoch, host, ownership.fence))
         return
     since = context.progress.stable_since(
-        Watch.REVOCATION, host, ownership.revoked, context.now
+        WatchKind.REVOCATION, host, ownership.revoked, context.now
     )
     if context.now >= since + context.timing.quarantine_after_s:
         present = context.find_evidence(host) is not None
@@ -127,9 +127,9 @@
         return
     progress = context.progress
     quiet_at = find_quiet(context, host)
-    fenced = context.checks_fence(host)
-    unloaded_at = progress.find_unload(host)
-    if not fenced and unloaded_at is not None and unloaded_at >= quiet_at:
+    checks_fence = context.checks_fence(host)
+    unloaded_at = progress.find_unload_time(host)
+    if not checks_fence and unloaded_at is not None and unloaded_at >= quiet_at:
         evidence = context.find_evidence(host)
         if evidence is None or evidence.sent_at <= unloaded_at:
             return
--- a/chervilrock/decisions/control/requests.py
+++ b/chervilrock/decisions/control/requests.py
@@ -1,7 +1,7 @@
-"""Actions of the planner, checked against the present state.
+"""Validation of the planner's actions against the current state.
 
 The planner may have decided on an older state, so each action is checked
-again and dropped when it no longer fits.
+again and dropped when it no longer applies.
 """
 
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 from chervilrock.decisions.control.effects import append, AppendRecord
 from chervilrock.decisions.control.loading import change_phase, repair
 from chervilrock.decisions.control.rollout import (
-    is_for,
+    applies_to,
     is_lost,
     is_outdated,
     may_take_down,
@@ -23,33 +23,35 @@
 
 
 def perform_actions(context: ControlContext) -> Iterator[AppendRecord]:
-    """Yield the records for the actions that fit the present state."""
-    claimed = context.progress.find_claimed(context.now)
+    """Yield the records of the actions that apply to the current state."""
+    assigned = context.progress.find_assigned_hosts(context.now)
     number = context.progress.grants
     for action in context.actions:
         if isinstance(action, FormGroup):
-            if claimed.isdisjoint(action.hosts):
+            if assigned.isdisjoint(action.hosts):
                 effects = list(_form(context, action, number + 1))
-                number += sum(isinstance(e.body, GroupGranted) for e in effects)
+                number += sum(
+                    isinstance(effect.body, GroupGranted) for effect in effects
+                )
                 yield from effects
-            claimed.update(action.hosts)
+            assigned.update(action.hosts)
         elif isinstance(action, RepairGroup):
-            group = _find(context, action)
+            group = _find_target(context, action)
             new = set(action.hosts).difference(group.hosts if group else ())
-            if group is not None and claimed.isdisjoint(new):
+            if group is not None and assigned.isdisjoint(new):
                 yield from _repair(context, action, group)
-            claimed.update(new)
+            assigned.update(new)
         else:
-            group = _find(context, action)
+            group = _find_target(context, action)
             if group is not None:
                 yield from _dissolve(context, group)
 
 
-def can_take(context: ControlContext, host: str) -> bool:
-    """Return whether a host is fit to enter a group now.
+def is_eligible_host(context: ControlContext, host: str) -> bool:
+    """Return whether a host may join a group now.
 
     It must be listed, not leaving and proved present. An engine that does not
-    check numbers must also show that it is empty.
+    check fencing numbers must also report that it is empty.
     """
     entry = context.hosts.get(host)
     evidence = context.find_evidence(host)
@@ -60,11 +62,11 @@
     return evidence.phase == EnginePhase.EMPTY
 
 
-def _find(
+def _find_target(
     context: ControlContext, action: RepairGroup | DissolveGroup
 ) -> Group | None:
     group = context.region.groups.get(action.group)
-    if group is None or not is_for(action, group):
+    if group is None or not applies_to(action, group):
         return None
     return group
 
@@ -76,7 +78,7 @@
     hosts = action.hosts
     if spec is None or len(set(hosts)) != len(hosts) or not hosts:
         return
-    if not all(can_take(context, host) for host in hosts):
+    if not all(is_eligible_host(context, host) for host in hosts):
         return
     owned = [host for host in hosts if not context.region.is_free(host)]
     if owned:
@@ -118,7 +120,7 @@
         return
     usable = {*group.hosts, *group.spares}
     new = [host for host in action.hosts if host not in group.hosts]
-    if not all(can_take(context, host) for host in new):
+    if not all(is_eligible_host(context, host) for host in new):
         return
     owned = [
         host
--- a/chervilrock/decisions/control/rollout.py
+++ b/chervilrock/decisions/control/rollout.py
@@ -1,8 +1,8 @@
-"""Which groups are taken down, and when.
+"""Selection of the groups to take down, and the time to do so.
 
-A group is drained when a host of it is leaving, when its model is no longer
-wanted, when there are more groups than wanted, or when it holds another
-version or other adapters than wanted. Only the first two reasons come before
+A group is drained when one of its hosts is leaving, when its model is no longer
+configured, when there are more groups than configured, or when it holds another
+version or other adapters than configured. Only the first two reasons override
 the rule that the groups of a model are taken down one at a time.
 """
 
@@ -16,14 +16,14 @@
     is_restarted,
     repair,
 )
-from chervilrock.decisions.control.progress import Watch
+from chervilrock.decisions.control.progress import WatchKind
 from chervilrock.decisions.ownership import Group
 from chervilrock.generated.configuration import ModelSpec
 from chervilrock.generated.records import GroupPhase, GroupPhaseChanged
 
 
 def is_outdated(spec: ModelSpec, group: Group) -> bool:
-    """Return whether a group holds something else than its model wants."""
+    """Return whether a group differs from the configuration of its model."""
     return (
         group.version != spec["version"]
         or group.adapters != tuple(spec.get("adapters", ()))
@@ -32,7 +32,7 @@
 
 
 def choose_drains(context: ControlContext) -> list[Group]:
-    """Return the serving groups that shall be drained now."""
+    """Return the serving groups to drain now."""
     chosen = [
         group
         for group in context.region.groups.values()
@@ -47,26 +47,31 @@
 
 
 def may_take_down(context: ControlContext, group: Group) -> bool:
-    """Return whether a serving group may be taken down for another one.
+    """Return whether a serving group may be taken down to be replaced.
 
-    One group of a model at a time, and never the last one that serves unless
-    the model has only this one and no other can be brought up before.
+    Groups of a model are taken down one at a time. The last serving group is
+    taken down only if the model has just this one and no other can be started
+    first.
     """
     spec = context.models.get(group.model)
     if spec is None:
         return True
     groups = context.find_groups(group.model)
-    if any(_is_changing(context, one) for one in groups):
+    if any(_is_changing(context, candidate) for candidate in groups):
         return False
-    serving = [one for one in groups if context.is_serving(one)]
-    others = [one for one in serving if one.name != group.name]
+    serving = [
+        candidate for candidate in groups if context.is_serving(candidate)
+    ]
+    others = [
+        candidate for candidate in serving if candidate.name != group.name
+    ]
     if len(serving) > spec["groups"]:
         return bool(others)
     if _is_forming(context, group.model):
         return False
     if not others and spec["groups"] > 1:
         return False
-    return len(serving) >= spec["groups"] or _stands_still(
+    return len(serving) >= spec["groups"] or _is_stable(
         context, group.model, groups
     )
 
@@ -74,30 +79,30 @@
 def drain_group(
     context: ControlContext, group: Group
 ) -> Iterator[AppendRecord]:
-    """Yield the record that a drained group is repaired or dissolved."""
+    """Yield the record that repairs or dissolves a drained group."""
     if not _is_drained(context, group):
         return
     for action in context.actions:
-        if isinstance(action, RepairGroup) and is_for(action, group):
+        if isinstance(action, RepairGroup) and applies_to(action, group):
             yield from repair(context, group, action.hosts, action.domain)
             return
     yield from change_phase(context, group, GroupPhase.DISSOLVED)
 
 
 def is_lost(context: ControlContext, group: Group) -> bool:
-    """Return whether the requests of a group cannot go on any more."""
+    """Return whether the requests of a group can no longer complete."""
     if is_restarted(context, group):
         return True
     since = context.now - context.timing.lost_after_s
-    missing = (
+    missing_since = (
         context.presence.missing_since(host, context.now)
         for host in group.hosts
     )
-    return any(one is not None and one <= since for one in missing)
+    return any(start is not None and start <= since for start in missing_since)
 
 
-def is_for(action: RepairGroup | DissolveGroup, group: Group) -> bool:
-    """Return whether an action was decided on this state of the group."""
+def applies_to(action: RepairGroup | DissolveGroup, group: Group) -> bool:
+    """Return whether an action was decided for this state of the group."""
     return action.group == group.name and action.fence == group.fence
 
 
@@ -106,8 +111,8 @@
 ) -> Group | None:
     """Return the surplus or outdated group to drain next, if any."""
     groups = context.find_groups(name)
-    serving = [one for one in groups if context.is_serving(one)]
-    outdated = [one for one in serving if is_outdated(spec, one)]
+    serving = [group for group in groups if context.is_serving(group)]
+    outdated = [group for group in serving if is_outdated(spec, group)]
     surplus = len(serving) > spec["groups"]
     candidates = outdated or (serving[::-1] if surplus else [])
     for group in candidates:
@@ -135,19 +140,19 @@
     )
 
 
-def _stands_still(
+def _is_stable(
     context: ControlContext, model: str, groups: list[Group]
 ) -> bool:
     value = tuple((group.name, group.fence, group.phase) for group in groups)
     since = context.progress.stable_since(
-        Watch.MODEL, model, value, context.now
+        WatchKind.MODEL, model, value, context.now
     )
     return context.now >= since + context.timing.rollout_pause_s
 
 
 def _is_drained(context: ControlContext, group: Group) -> bool:
     since = context.progress.stable_since(
-        Watch.DRAIN, group.name, group.fence, context.now
+        WatchKind.DRAIN, group.name, group.fence, context.now
     )
     if context.now >= since + context.timing.drain_limit_s:
         return True
--- a/chervilrock/decisions/control/view.py
+++ b/chervilrock/decisions/control/view.py
@@ -1,4 +1,4 @@
-"""What the controller shows the planner."""
+"""Input of the planner, made from the state of the controller."""
 
 from collections.abc import Iterable
 
@@ -31,15 +31,15 @@
     """Return the input of the planner.
 
     Args:
-      region: folded state of the region stream.
+      region: state folded from the region stream.
       wanted: configuration in force.
       presence: evidence of the hosts.
       hosts: host list, of this region.
-      pending: records under way, which count as if they were accepted.
-      prices: costs that hold now.
-      now: present time in seconds.
+      pending: pending records, which count as if they were accepted.
+      prices: costs in force now.
+      now: current time in seconds.
     """
-    claimed = pending.find_claimed(now)
+    assigned = pending.find_assigned_hosts(now)
     groups = _list_groups(region, pending, now)
     spares = {host for group in region.groups.values() for host in group.spares}
     views = []
@@ -48,14 +48,14 @@
         evidence = presence.find(host, now)
         unowned = region.is_free(host) or host in spares
         views.append(
-            _view_host(entry, evidence, unowned and host not in claimed)
+            _make_host_view(entry, evidence, unowned and host not in assigned)
         )
     return PlanInput(
         models=tuple(wanted["models"]),
         prices=prices,
         hosts=tuple(views),
         groups=tuple(
-            _view_group(group, presence, now)
+            _make_group_view(group, presence, now)
             for group in groups.values()
             if group.phase is not GroupPhase.DISSOLVED
         ),
@@ -65,16 +65,16 @@
 def _list_groups(
     region: RegionState, pending: Progress, now: float
 ) -> dict[str, Group]:
-    """Return the groups by name as they are once records under way are read.
+    """Return the groups by name, with pending records applied.
 
-    Otherwise the planner would ask for a group a second time, with other
+    Without them the planner would request a group a second time, with other
     hosts, while the log is slow.
     """
     groups = dict(region.groups)
-    for body in pending.list_compositions(now):
+    for body in pending.list_assignments(now):
         group = groups.get(body.group)
         if isinstance(body, GroupGranted):
-            groups.setdefault(body.group, _make_granted(body))
+            groups.setdefault(body.group, _make_granted_group(body))
         elif group is not None and group.fence == body.fence:
             groups[body.group] = group._replace(
                 hosts=body.hosts,
@@ -85,8 +85,8 @@
     return groups
 
 
-def _make_granted(body: GroupGranted) -> Group:
-    """Return a group whose grant is under way; it has no number yet."""
+def _make_granted_group(body: GroupGranted) -> Group:
+    """Return a group whose grant is pending; it has no fencing number yet."""
     return Group(
         name=body.group,
         model=body.model,
@@ -100,10 +100,10 @@
     )
 
 
-def _view_host(
+def _make_host_view(
     entry: HostEntry, evidence: Evidence | None, unowned: bool
 ) -> HostView:
-    fenced = entry["checks_fence"] and (
+    checks_fence = entry["checks_fence"] and (
         evidence is None or evidence.checks_fence
     )
     empty = evidence is not None and evidence.phase == EnginePhase.EMPTY
@@ -112,19 +112,21 @@
         data_centre=entry["data_centre"],
         domain=entry["domain"],
         accelerators=entry["accelerators"],
-        checks_fence=fenced,
+        checks_fence=checks_fence,
         present=evidence is not None,
         leaving=entry["leaving"],
-        free=unowned and (fenced or empty),
+        free=unowned and (checks_fence or empty),
         loaded=evidence.shard if evidence is not None else None,
     )
 
 
-def _view_group(group: Group, presence: PresenceTable, now: float) -> GroupView:
+def _make_group_view(
+    group: Group, presence: PresenceTable, now: float
+) -> GroupView:
     missing = presence.missing(group, now)
     if missing and presence.compose_reserve(group, now) is not None:
         missing = ()
-    since = [presence.missing_since(host, now) for host in missing]
+    starts = [presence.missing_since(host, now) for host in missing]
     return GroupView(
         name=group.name,
         model=group.model,
@@ -136,7 +138,7 @@
         phase=group.phase,
         missing=missing,
         missing_since=min(
-            (one for one in since if one is not None), default=None
+            (start for start in starts if start is not None), default=None
         ),
         spares=group.spares,
     )
