--- a/chervilrock/decisions/control/release.py
+++ b/chervilrock/decisions/control/release.py
@@ -42,7 +42,7 @@
 
 
 def clear_hosts(context: ControlContext) -> Iterator[Effect]:
-    """Yield the effects that clear quarantined hosts once proved empty."""
+    """Yield the effects that clear quarantined hosts that are present again."""
     for host in context.region.quarantined:
         ownership = context.region.owners[host]
         if is_proved_empty(context, host, ownership):
