--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -13,15 +13,15 @@
 from chervilrock.tasks.serving.messages import Message, ReadFailed, RecordsRead
 
 FIRST_RETRY_S = 0.1
-"""Pause after the first failed call; each further one takes twice as long."""
+"""Pause after the first failed call, which doubles with each further one."""
 
 
 class TopicFollower:
-    """Reads a topic from its newest records on, and tells each change.
+    """Reads the newest records of a topic, and then each change.
 
     Attributes:
-      is_lost: whether the last call has failed.
-      is_behind: whether nothing was read since the reads were paused.
+      has_failed: whether the last call failed.
+      is_behind: whether nothing was read since the reads were last started.
     """
 
     def __init__(
@@ -32,81 +32,82 @@
         choose_pace: Callable[[], Pace],
         outbox: Outbox[Message],
     ) -> None:
-        """Follow a topic of a store.
+        """Create a follower that has read nothing.
 
         Args:
           store: the store.
-          topic: what to follow.
-          choose_pace: returns how often to read, before each read.
-          outbox: gets `RecordsRead` and `ReadFailed`.
+          topic: topic to follow.
+          choose_schedule: returns the polling schedule; called for each read.
+          outbox: receives `RecordsRead` and `ReadFailed`.
         """
         self._store = store
         self._topic = topic
         self._outbox = outbox
         self._retry_s = FIRST_RETRY_S
-        self._choose_pace = choose_pace
+        self._choose_schedule = choose_pace
         self._position: int | None = None
         self._era = 0
-        self.is_lost = False
+        self.has_failed = False
         self.is_behind = True
 
     async def run(self) -> None:
-        """Read until cancelled; a later run goes on behind the last page."""
+        """Read until cancelled; a later run continues after the last page."""
         self._retry_s = FIRST_RETRY_S
         while True:
             if self._position is None:
-                await self._start()
+                await self._read_snapshot()
             else:
-                await self._go_on(self._position)
+                await self._read_changes(self._position)
 
-    async def _start(self) -> None:
+    async def _read_snapshot(self) -> None:
         """Read the newest records."""
         result = await self._store.fetch_newest(self._topic)
         if isinstance(result, Failure):
             await self._note_failure(result.failure())
             return
-        await self._take(result.unwrap(), is_snapshot=True)
-
-    async def _go_on(self, position: int) -> None:
-        """Read what came since, or wait for it."""
-        # A call that the store may hold tells only after that time that there
-        # is no answer; one that it may not hold tells within a second.
-        is_held = not (self.is_lost or self.is_behind)
-        wait_s = self._choose_pace().wait_s if is_held else 0.0
+        await self._deliver(result.unwrap(), is_snapshot=True)
+
+    async def _read_changes(self, position: int) -> None:
+        """Read the changes since a position, or wait for one."""
+        # A long poll shows only after its whole timeout that the store does
+        # not answer; a call without one shows it within a second.
+        is_long_poll = not (self.has_failed or self.is_behind)
+        wait_s = self._choose_schedule().wait_s if is_long_poll else 0.0
         result = await self._store.read(self._topic, position, wait_s)
         if isinstance(result, Failure):
             await self._note_failure(result.failure())
             return
         page = result.unwrap()
         if page is None or page.era != self._era:
-            # The offsets of a copy may have been given out for other records.
+            # A store that was restored from a backup may reuse offsets for
+            # other records.
             self._position = None
             return
-        await self._take(page, is_snapshot=False)
-        # What came may have changed how soon to read again.
-        await asyncio.sleep(self._choose_pace().pause_s)
+        await self._deliver(page, is_snapshot=False)
+        # The records may have changed the polling schedule.
+        await asyncio.sleep(self._choose_schedule().pause_s)
 
-    async def _take(self, page: KeyedPage, *, is_snapshot: bool) -> None:
-        """Tell what came, and read on behind it."""
+    async def _deliver(self, page: KeyedPage, *, is_snapshot: bool) -> None:
+        """Send a page to the outbox and move the position behind it."""
         self._retry_s = FIRST_RETRY_S
-        self.is_lost = False
+        self.has_failed = False
         self.is_behind = False
         await self._outbox.send(RecordsRead(self._topic, page, is_snapshot))
         self._position = page.next_offset
         self._era = page.era
 
     async def _note_failure(self, error: PlatformError) -> None:
-        """Tell the failure and wait a while."""
-        self.is_lost = True
+        """Send a failure to the outbox and wait before the next attempt."""
+        self.has_failed = True
         reason = f"{error.kind.value}: {error.message}"
         is_silent = error.kind is PlatformErrorKind.TIMEOUT
         await self._outbox.send(ReadFailed(self._topic, reason, is_silent))
         await asyncio.sleep(self._retry_s)
-        self._retry_s = min(2 * self._retry_s, self._choose_pace().retry_s)
+        self._retry_s = min(2 * self._retry_s, self._choose_schedule().retry_s)
 
 
 class Following:
-    """A topic that is being followed."""
+    """Runs a topic follower, which can be restarted, paused and resumed."""
 
     def __init__(
         self,
@@ -114,51 +115,52 @@
         follower: TopicFollower,
         start: Callable[[Coroutine[Any, Any, None]], "asyncio.Task[None]"],
     ) -> None:
-        """Begin to follow.
+        """Start the follower.
 
         Args:
           follower: reads the topic.
-          start: starts a task.
+          start: starts an asyncio task.
         """
         self._follower = follower
-        self._start = start
+        self._start_task = start
         self._task: asyncio.Task[None] | None = start(follower.run())
 
     @property
     def is_current(self) -> bool:
-        """Whether the topic is read, and the last call was answered."""
+        """Whether the topic is read and the last call was answered."""
         follower = self._follower
         is_read = self._task is not None
-        return is_read and not (follower.is_lost or follower.is_behind)
+        return is_read and not (follower.has_failed or follower.is_behind)
 
     @property
     def is_paused(self) -> bool:
-        """Whether the topic is not read now."""
+        """Whether the reads are paused."""
         return self._task is None
 
     def renew(self) -> None:
-        """Give the call under way up and make it anew at once.
+        """Cancel the pending call and repeat it at once.
 
-        It is not held: a store that came back from a copy may hold a read
-        from an offset that is yet to come, and only its answer tells so.
+        The new call does not long poll: a store that was restored from a
+        backup may delay a read at an offset which it has not reached yet, and
+        only an answer shows that it was restored.
         """
         if self._task is not None:
             self._follower.is_behind = True
             self._task.cancel()
-            self._task = self._start(self._follower.run())
+            self._task = self._start_task(self._follower.run())
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Stop reading until `resume`."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def resume(self) -> None:
-        """Read on, beginning with what came meanwhile."""
+        """Continue reading with the changes that were missed."""
         if self._task is None:
             self._follower.is_behind = True
-            self._task = self._start(self._follower.run())
+            self._task = self._start_task(self._follower.run())
 
     def cancel(self) -> None:
-        """Follow no more."""
+        """Stop following the topic."""
         self.pause()
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -1,4 +1,4 @@
-"""What a node does while it leads: it moves groups and tells all nodes."""
+"""The duties of a leader: control groups and send announcements to nodes."""
 
 import asyncio
 from collections.abc import Iterable
@@ -48,16 +48,16 @@
 from chervilrock.tasks.serving.state import ServingState
 
 OUTAGE_GRACE_S = 2.3
-"""Time after the store has come back for entries that lapsed meanwhile: they
-are back within two seconds, or their servers are gone."""
+"""Time after a recovery of the store for entries that lapsed in the meantime:
+servers that still run write them again within two seconds."""
 
 
 class Leading:
     """One term of this node as the leader.
 
     Attributes:
-      term: offset of the claim.
-      counts: what the hosts do, as it was last counted.
+      term: number of the term, made of the era and offset of the claim.
+      host_counts: latest host counts for each model.
     """
 
     def __init__(
@@ -70,14 +70,14 @@
         decode_server: DecodeServer,
         entries: NewestEntries,
     ) -> None:
-        """Begin to lead: read the servers and speak to the nodes.
+        """Start to lead: read the server entries and call the nodes.
 
         Args:
-          term: offset of the claim.
-          state: what the handlers use.
-          store: whether the store answers.
+          term: number of the term, made of the era and offset of the claim.
+          state: state that is shared with the request handlers.
+          store: availability of the store.
           outbound: makes calls.
-          decode_server: reads the entry of a server.
+          decode_server: decodes the entry of a server.
           entries: newest entries that this process has read.
         """
         self._entries = entries
@@ -100,22 +100,22 @@
         self._sequence = 0
         self._nodes_sequence = 0
         self._has_servers = False
-        self._counted = float("-inf")
+        self._counted_at = float("-inf")
         self.counts: tuple[ModelCount, ...] = ()
         self._pending_removals: dict[str, float] = {}
         self._follower = outbound.follow(Topic.SERVERS, lambda: SERVERS_PACE)
 
     def close(self) -> None:
-        """Lead no more."""
+        """Stop leading."""
         self._follower.cancel()
 
     def renew_reads(self) -> None:
-        """Begin to read the servers anew, as the store was silent."""
+        """Restart the read of the server entries after a store outage."""
         self._follower.renew()
 
     @property
     def summary(self) -> Summary:
-        """What all other nodes have answered together."""
+        """Combined answers of all other nodes."""
         return self._summary
 
     @property
@@ -124,36 +124,36 @@
         return bool(self._summary.nodes)
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return what it knows of the groups, for a dump of the state."""
+        """Return the state of the groups for a dump."""
         return self._controller.describe()
 
     def set_configuration(self, configuration: SiteConfiguration) -> None:
-        """Form the groups of another configuration."""
+        """Apply another configuration to the groups."""
         self._controller.set_configuration(configuration)
 
     def note_silent(self, group: str, now: float) -> None:
-        """Note that the streams of a group have stopped somewhere."""
+        """Record that streams of a group have stalled on some node."""
         self._controller.note_silent(group, now)
 
     def note_limit(self, server: str, rate: float | None) -> None:
-        """Note the limit that a node has heard of a server, None for none."""
+        """Record the rate limit that a server sent to a node, None for none."""
         if self._limits.note(server, rate):
             emit(Event.LIMIT_TOLD, server=server, rate=rate)
 
     def note_report(self, answered: ServerAnswered, now: float) -> None:
-        """Note what a server told of itself."""
+        """Record the status report of a server."""
         self._controller.note_report(answered.server, answered.report, now)
 
     def note_reply(self, answered: OrderAnswered, now: float) -> None:
-        """Note what became of an order."""
+        """Record the outcome of an order."""
         self._controller.note_reply(
             answered.server, answered.order, answered.reply, now
         )
 
     def note_servers(self, read: RecordsRead, now: float) -> None:
-        """Take the entries of servers."""
+        """Apply changed and removed entries of servers."""
         self._has_servers = self._has_servers or read.is_snapshot
-        self._note_copy(read, now)
+        self._check_restore(read, now)
         for record in read.page.records:
             if not record.value:
                 self._pending_removals.setdefault(record.key, now)
@@ -167,17 +167,17 @@
             entry = self._entries.take(decoded.unwrap())
             self._controller.note_server(entry, now)
 
-    def take_over(self, now: float) -> None:
-        """Go on with the servers that this process knew in its last term.
+    def keep_known_servers(self, now: float) -> None:
+        """Keep the servers that this process knew in its previous term.
 
-        The store came back from a copy, in which some of them are missing.
+        The store was restored from a backup, which lacks some of them.
         """
         for entry in self._entries.list_present():
             self._controller.note_server(entry, now)
             self._pending_removals.setdefault(entry.server, now)
 
-    def _note_copy(self, read: RecordsRead, now: float) -> None:
-        """Count servers that a copy lacks as gone, unless they write soon."""
+    def _check_restore(self, read: RecordsRead, now: float) -> None:
+        """After a restore, remove all servers that do not write soon."""
         former_era = self._servers_era
         self._servers_era = read.page.era
         if former_era is None or read.page.era == former_era:
@@ -186,7 +186,7 @@
             self._pending_removals.setdefault(entry.server, now)
 
     def note_answered(self, answered: PeerAnswered, now: float) -> None:
-        """Note what came of an announcement."""
+        """Record the outcome of an announcement."""
         incarnation = answered.incarnation
         answer = answered.acknowledgement
         node = self._peers.find(incarnation)
@@ -204,38 +204,38 @@
         return find_interval(len(self._peers))
 
     def act(self, now: float) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self._remove_servers(now)
         if not self._has_servers:
             return
         others = [
-            one
-            for one in self._state.known_nodes.values()
-            if one.incarnation != self._state.own.incarnation
+            node
+            for node in self._state.known_nodes.values()
+            if node.incarnation != self._state.own.incarnation
         ]
         former = self._circle.relays
         self._circle = self._relays.choose(others, now)
-        self._note_relays(former)
+        self._log_new_relays(former)
         self._peers.sync(self._circle.nodes, now)
-        self._sum_up(now)
+        self._summarize_answers(now)
         self._controller.note_requests(
             self._loads, self._limits.find_rates(), now
         )
         for effect in self._controller.step(now):
-            self._carry_out(effect)
+            self._execute(effect)
         self._count_hosts(now)
-        self._renew_view(now)
-        news = self._make_news(now)
-        self._peers.announce(news, now)
+        self._update_view(now)
+        update = self._make_update(now)
+        self._peers.announce(update, now)
 
     async def resign(self, now: float) -> None:
-        """Tell all nodes that this one stops, so that another one leads."""
-        news = self._make_news(now)
-        sends = self._peers.announce(news, now, is_last=True)
-        await asyncio.gather(*sends)
+        """Announce to all nodes that this one stops, so that another leads."""
+        update = self._make_update(now)
+        tasks = self._peers.announce(update, now, is_last=True)
+        await asyncio.gather(*tasks)
 
     def _remove_servers(self, now: float) -> None:
-        """Take out the servers whose entries are gone for good."""
+        """Remove the servers whose entries were deleted and not rewritten."""
         is_lost = self._store.lost_at is not None
         if is_lost or now - self._store.back_at < OUTAGE_GRACE_S:
             return
@@ -245,8 +245,8 @@
             self._controller.note_gone(server)
         self._pending_removals.clear()
 
-    def _note_relays(self, former: frozenset[str]) -> None:
-        """Log the relays that were not so before."""
+    def _log_new_relays(self, former: frozenset[str]) -> None:
+        """Log the newly chosen relays."""
         for node in self._circle.nodes:
             if node.incarnation in self._circle.relays - former:
                 emit(
@@ -255,8 +255,8 @@
                     data_centre=node.data_centre,
                 )
 
-    def _sum_up(self, now: float) -> None:
-        """Take what the nodes have answered together."""
+    def _summarize_answers(self, now: float) -> None:
+        """Combine the answers of the nodes and apply them."""
         state = self._state
         summary = add_up(
             [
@@ -265,7 +265,7 @@
             ]
         )
         self._summary = summary
-        self._list_nodes(summary)
+        self._update_node_list(summary)
         loads = dict(summary.loads)
         for server, count in state.own_loads.items():
             loads[server] = loads.get(server, 0) + count
@@ -278,20 +278,22 @@
         for group in summary.silent:
             self._controller.note_silent(group, now)
 
-    def _list_nodes(self, summary: Summary) -> None:
-        """Make a new list of the nodes that take callers if it changed."""
+    def _update_node_list(self, summary: Summary) -> None:
+        """Update the list of the nodes that take callers if it has changed."""
         state = self._state
         live = set(summary.nodes)
         if not state.is_stopping:
             live.add(state.own.incarnation)
         known = {*state.known_nodes.values(), state.own}
-        nodes = tuple(sorted(one for one in known if one.incarnation in live))
+        nodes = tuple(
+            sorted(node for node in known if node.incarnation in live)
+        )
         if nodes != state.nodes or state.nodes_version[0] != self.term:
             self._nodes_sequence += 1
             state.nodes = nodes
             state.nodes_version = (self.term, self._nodes_sequence)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case GroupNote():
                 emit(
@@ -307,30 +309,32 @@
                 self._outbound.ask(effect.server)
 
     def _count_hosts(self, now: float) -> None:
-        """Count and log what the hosts do, once in a while."""
-        if now - self._counted < INTERVAL_S:
+        """Count the hosts by state and log the counts periodically."""
+        if now - self._counted_at < INTERVAL_S:
             return
-        self._counted = now
+        self._counted_at = now
         self.counts = self._controller.count_hosts(now)
-        for one in self.counts:
+        for count in self.counts:
             emit(
                 Event.HOSTS_COUNTED,
-                service=one.service,
-                model=one.model,
-                groups=one.groups,
-                needed=round(one.needed, 1),
-                is_short=one.is_short,
-                hosts={state.value: n for state, n in one.hosts.items()},
+                service=count.service,
+                model=count.model,
+                groups=count.groups,
+                needed=round(count.needed, 1),
+                is_short=count.is_short,
+                hosts={
+                    state.value: number for state, number in count.hosts.items()
+                },
                 places={
                     f"{place} {state.value}": number
                     for (place, state), number in sorted(
-                        one.places.items(), key=lambda item: item[0][0]
+                        count.places.items(), key=lambda item: item[0][0]
                     )
                 },
             )
 
-    def _renew_view(self, now: float) -> None:
-        """Make a new view if anything that it tells has changed."""
+    def _update_view(self, now: float) -> None:
+        """Create a new view if any of its content has changed."""
         controller = self._controller
         state = self._state
         if not controller.has_looked(now):
@@ -368,15 +372,15 @@
         servers: Iterable[ServerEndpoint],
         now: float,
     ) -> tuple[LimitedServer, ...]:
-        """Return the servers with limits, and the nodes that send to them."""
+        """Return the rate-limited servers and the nodes that send to them."""
         if not self._limits.find_rates():
             return ()
-        present = [one.server for one in groups]
-        present += [one.server for one in servers]
+        present = [group.server for group in groups]
+        present += [server.server for server in servers]
         nodes = self._state.list_active_nodes(self._state.own.node, now)
         return self._limits.list(present, nodes, now)
 
-    def _make_news(self, now: float) -> News:
+    def _make_update(self, now: float) -> News:
         state = self._state
         interval_s = self.interval_s
         base = Announcement(
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -1,6 +1,7 @@
-"""The task that knows the installation: configuration, nodes, leader, groups.
+"""The task that holds a node's state: configuration, nodes, leader and groups.
 
-It owns what a node believes and gets every change as a message.
+The task is the only one to change this state, and receives every change as a
+message.
 """
 
 from collections.abc import Iterable
@@ -69,10 +70,10 @@
 from chervilrock.tasks.serving.suspicion import Suspicion
 
 TICK_S = 0.05
-"""Longest time between two looks at what is due."""
+"""Longest time between two checks for due actions."""
 
-NO_END = -1
-"""Stands for no offset of a topic."""
+NO_OFFSET = -1
+"""Marks the absence of a topic offset."""
 
 _CONFIGURATION_KEY = "config"
 
@@ -81,7 +82,7 @@
 
 
 class NodeTask:
-    """Keeps the state of a node current, and leads when it is its turn."""
+    """Keeps the state of a node current, and leads while its claim is valid."""
 
     def __init__(
         self,
@@ -91,40 +92,40 @@
         state: ServingState,
         room: WaitingRoom,
     ) -> None:
-        """Know nothing yet.
+        """Create a task that has read nothing from the store yet.
 
         Args:
           own: this node.
-          ports: what it reaches the outside by.
-          state: what the handlers use.
-          room: where requests wait for a place.
+          ports: clients and decoders for everything outside of the process.
+          state: state that is shared with the request handlers.
+          room: queue of the requests that wait for a slot.
         """
         now = read_clock()
         self._own = own
         self._ports = ports
         self._state = state
-        self._room = room
+        self._wait_queue = room
         self.mailbox: Mailbox[Message] = Mailbox(size=4096)
         self._leadership = Leadership(
             node=own.node, incarnation=own.incarnation, now=now
         )
-        self._leading: Leading | None = None
+        self._leader_role: Leading | None = None
         self._entries = NewestEntries()
         self._revisions = RevisionWatch()
-        self._teller: NodeEntry | None = None
-        self._told_loads = ToldLoads()
+        self._announcing_leader: NodeEntry | None = None
+        self._reported_loads = ToldLoads()
         self._is_designated = True
-        self._era: int | None = None
+        self._store_era: int | None = None
         self._nodes_era: int | None = None
-        self._end = 0
-        self._tried_end = NO_END
-        self._first_read: float | None = None
+        self._next_nodes_offset = 0
+        self._claimed_offset = NO_OFFSET
+        self._first_read_time: float | None = None
         self._first_term = -1
         self._document: bytes = b""
-        self._document_taken = now
+        self._in_force_since = now
         self._is_claiming = False
         self._is_registering = False
-        self._is_recorded = False
+        self._is_registered = False
         self._outbound = Outbound(ports=ports, outbox=self.mailbox)
         self._reads = StoreReads(
             outbound=self._outbound,
@@ -136,16 +137,16 @@
         self._limit_reports = LimitReports(state=state, outbound=self._outbound)
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Handle messages and act until cancelled."""
         self._reads.start()
         try:
             while True:
                 message = await self.mailbox.receive_within(TICK_S)
                 now = read_clock()
                 if message is not None:
-                    self._take(message, now)
-                for other in self.mailbox.receive_waiting():
-                    self._take(other, now)
+                    self._handle(message, now)
+                for queued in self.mailbox.receive_waiting():
+                    self._handle(queued, now)
                 self._act(now)
         finally:
             self._stop_leading()
@@ -154,30 +155,30 @@
     @property
     def is_leader(self) -> bool:
         """Whether this node leads."""
-        return self._leading is not None
+        return self._leader_role is not None
 
     @property
     def counts(self) -> tuple[ModelCount, ...]:
-        """What the hosts do, as the leader counts it; empty elsewhere."""
-        return () if self._leading is None else self._leading.counts
+        """Host counts for each model; empty unless this node leads."""
+        return () if self._leader_role is None else self._leader_role.counts
 
     @property
     def is_needed(self) -> bool:
-        """Whether other nodes have no other leader yet."""
-        return self._leading is not None and self._leading.has_followers
+        """Whether this node leads other nodes that take callers."""
+        return self._leader_role is not None and self._leader_role.has_followers
 
     @property
     def is_relay(self) -> bool:
-        """Whether this node passes on what the leader tells."""
+        """Whether this node forwards announcements of the leader."""
         return self._relay.is_active(read_clock())
 
     def note_silence(self, group: str, now: float) -> None:
-        """Tell the leader at once that the streams of a group have stopped."""
+        """Report to the leader at once that streams of a group have stalled."""
         if self._state.is_doubted(group, now):
             return
         self._state.doubt(group, now)
-        if self._leading is not None:
-            self._leading.note_silent(group, now)
+        if self._leader_role is not None:
+            self._leader_role.note_silent(group, now)
             return
         leader = self._find_leader()
         if leader is not None:
@@ -186,13 +187,13 @@
     def take_announcement(
         self, announcement: Announcement, now: float
     ) -> Acknowledgement:
-        """Take what a leader tells, and answer it."""
+        """Apply an announcement of a leader and return its acknowledgement."""
         state = self._state
         relayed = None
         if announcement.term >= self._leadership.term:
             self._follow_leader(announcement, now)
             relayed = self._relay.pass_on(announcement, now)
-        self._told_loads.note(announcement.term, state.own_loads)
+        self._reported_loads.note(announcement.term, state.own_loads)
         return Acknowledgement(
             term=self._leadership.term,
             node=self._own,
@@ -221,11 +222,11 @@
         return self._state.list_callers_addresses(data_centre, leader, now)
 
     def get_document(self) -> bytes:
-        """Return the document of the configuration in force."""
+        """Return the encoded document of the configuration in force."""
         return self._document
 
     def list_store_ages(self, now: float) -> dict[str, float]:
-        """Return the seconds since the store answered, by followed topic."""
+        """Return the seconds since the last answer for each followed topic."""
         return {
             topic.value: self._reads.find_age(topic, now)
             for topic in Topic
@@ -233,23 +234,23 @@
         }
 
     def _is_read(self, topic: Topic) -> bool:
-        """Tell whether this node follows a topic of the store now."""
+        """Return whether this node currently follows a topic of the store."""
         if topic is Topic.SERVERS:
             return self.is_leader
         return self._reads.is_read(topic)
 
     def find_revision_age(self, now: float) -> float:
-        """Return the seconds since the revision came in force here."""
-        return now - self._document_taken
+        """Return the seconds since the revision came into force here."""
+        return now - self._in_force_since
 
     def find_revision_lag(self, now: float) -> float:
-        """Return for how long another node has had a newer revision."""
+        """Return for how many seconds another node has had a newer revision."""
         return self._revisions.find_lag(self._state.revision, now)
 
     def describe(self, now: float) -> dict[str, Any]:
-        """Return what the node believes, for a dump of its state."""
+        """Return the state of the node for a dump."""
         state = self._state
-        leading = self._leading
+        leader_role = self._leader_role
         return {
             "node": self._own,
             "term": self._leadership.term,
@@ -263,7 +264,7 @@
                 topic: round(age, 3)
                 for topic, age in self.list_store_ages(now).items()
             },
-            "reads": [one.value for one in Topic if self._is_read(one)],
+            "reads": [topic.value for topic in Topic if self._is_read(topic)],
             "view": state.view,
             "view_age_s": round(now - state.view_time, 3),
             "nodes": state.nodes,
@@ -273,32 +274,36 @@
             "short_models": state.shortages.list_short(now),
             "suspects": state.suspects.told,
             "withheld": state.suspects.list_withheld(),
-            "waiting": len(self._room),
+            "waiting": len(self._wait_queue),
             "repeats": state.describe_budgets(),
             "limits": state.limits.list_limited(),
             "is_stopping": state.is_stopping,
-            "groups": [] if leading is None else leading.describe(),
+            "groups": [] if leader_role is None else leader_role.describe(),
         }
 
     async def resign(self) -> None:
-        """Tell all nodes that this one stops, so that another one leads.
+        """Announce to all nodes that this one stops, so that another one leads.
 
-        It leads until then: while the store is away nobody can take over, and
-        without a leader no group is repaired and no node knows the requests of
-        the others.
+        The node leads until then: while the store is unavailable no node can
+        take over, and without a leader no group is repaired and no node knows
+        the loads of the others.
         """
-        if self._leading is not None:
-            await self._leading.resign(read_clock())
+        if self._leader_role is not None:
+            await self._leader_role.resign(read_clock())
 
     def _step_down(self, reason: str) -> None:
-        """Lead no more, and say why."""
-        if self._leading is None:
+        """Stop leading and log the reason."""
+        if self._leader_role is None:
             return
-        emit(Event.LEADER_STEPPED_DOWN, term=self._leading.term, reason=reason)
+        emit(
+            Event.LEADER_STEPPED_DOWN,
+            term=self._leader_role.term,
+            reason=reason,
+        )
         self._stop_leading()
 
     def _describe_reader(self) -> Reader:
-        """Return what this node is, for the choice of its paces."""
+        """Return the node's properties that determine its polling schedules."""
         now = read_clock()
         return Reader(
             is_leader=self.is_leader,
@@ -309,21 +314,21 @@
             nodes=len(self._state.known_nodes),
             misses_store=self._reads.store.lost_at is not None,
             is_designated=self._is_designated or self.is_relay,
-            is_registered=self._is_recorded,
+            is_registered=self._is_registered,
             unled_s=self._leadership.find_unled(now),
             lag_s=self.find_revision_lag(now),
         )
 
-    def _is_in_touch(self, now: float) -> bool:
-        """Tell whether this node learns of nodes that are added."""
+    def _has_contact(self, now: float) -> bool:
+        """Return whether this node is informed about added nodes."""
         if self.is_leader or self._leadership.is_heard(now):
             return True
-        has_read = self._first_read is not None
+        has_read = self._first_read_time is not None
         return has_read and self._reads.is_current(Topic.NODES)
 
     @property
-    def _is_known(self) -> bool:
-        """Whether the record of this node was read back."""
+    def _has_read_own_record(self) -> bool:
+        """Whether the record of this node has been read back from the store."""
         return self._state.known_nodes.get(self._own.node) == self._own
 
     def _find_leader(self) -> NodeEntry | None:
@@ -337,27 +342,27 @@
 
     # Messages.
 
-    def _take(self, message: Message, now: float) -> None:
+    def _handle(self, message: Message, now: float) -> None:
         match message:
             case RecordsRead():
                 self._note_store_answer(message.topic, now)
-                self._note_era(message, now)
-                self._take_records(message, now)
+                self._check_era(message, now)
+                self._handle_records(message, now)
             case ReadFailed():
                 self._reads.note_failure(message, now)
             case OrderAnswered():
-                self._take_reply(message, now)
+                self._handle_order_answer(message, now)
             case ServerAnswered():
-                if self._leading is not None:
-                    self._leading.note_report(message, now)
+                if self._leader_role is not None:
+                    self._leader_role.note_report(message, now)
             case PeerAnswered():
-                self._take_answer(message, now)
+                self._handle_peer_answer(message, now)
             case ClaimAnswered():
-                self._take_claim_answer(message, now)
+                self._handle_claim_answer(message, now)
             case RegistrationAnswered():
-                self._take_registration(message)
+                self._handle_registration_answer(message)
             case DocumentRead():
-                self._take_document(message.document, message.source, now)
+                self._apply_document(message.document, message.source, now)
             case ServerChecked():
                 self.suspicion.note_checked(message, now)
             case EndsAnswered():
@@ -365,66 +370,68 @@
             case SuspectWritten():
                 self.suspicion.note_written(message)
             case LimitHeard():
-                if self._leading is not None:
-                    self._leading.note_limit(message.server, message.rate)
+                if self._leader_role is not None:
+                    self._leader_role.note_limit(message.server, message.rate)
             case SilenceSeen():
-                if self._leading is not None:
-                    self._leading.note_silent(message.group, now)
+                if self._leader_role is not None:
+                    self._leader_role.note_silent(message.group, now)
 
     def _note_store_answer(self, topic: Topic, now: float) -> None:
-        """Note that the store answered to a call of a topic."""
+        """Record an answer of the store to a call for a topic."""
         if self._reads.note_answer(topic, now):
             self._renew_reads("the store answers again", topic)
 
-    def _note_era(self, read: RecordsRead, now: float) -> None:
-        """Read all anew when the store came back from a copy."""
-        if self._era is None:
-            self._era = read.page.era
-        if read.page.era <= self._era:
+    def _check_era(self, read: RecordsRead, now: float) -> None:
+        """Restart all reads if the store was restored from a backup."""
+        if self._store_era is None:
+            self._store_era = read.page.era
+        if read.page.era <= self._store_era:
             return
-        emit(Event.STORE_RESTORED, era=read.page.era, former=self._era)
-        self._era = read.page.era
-        # The offset of a claim that was tried may be given out again.
-        self._tried_end = NO_END
+        emit(Event.STORE_RESTORED, era=read.page.era, former=self._store_era)
+        self._store_era = read.page.era
+        # The restored store may reuse the offset of an earlier claim.
+        self._claimed_offset = NO_OFFSET
         self._entries.note_copy()
         self._reads.store.note_copy(now)
-        self._renew_reads("the store came back from a copy", read.topic)
+        self._renew_reads("the store was restored from a backup", read.topic)
 
     def _renew_reads(self, reason: str, answered: Topic | None = None) -> None:
-        """Begin all reads anew but that of the topic that was answered."""
+        """Restart all reads except that of the topic that was answered."""
         self._reads.renew_all(reason, answered)
-        if self._leading is not None and answered is not Topic.SERVERS:
-            self._leading.renew_reads()
+        if self._leader_role is not None and answered is not Topic.SERVERS:
+            self._leader_role.renew_reads()
 
-    def _take_claim_answer(self, answered: ClaimAnswered, now: float) -> None:
-        """Note whether a claim was written, and read what became of it."""
+    def _handle_claim_answer(self, answered: ClaimAnswered, now: float) -> None:
+        """Record whether a claim was written, and read the topic again."""
         self._is_claiming = False
         if not answered.is_answered:
-            self._tried_end = NO_END
+            self._claimed_offset = NO_OFFSET
             self._reads.store.note_failure(
                 Topic.NODES.value, now, is_silent=True
             )
         elif answered.is_overtaken:
-            # Whatever was written meanwhile has to be read first.
+            # The records written in the meantime have to be read first.
             self._leadership.note_overtaken()
         else:
-            self._tried_end = NO_END
-        # A read that is held could be one that is never answered.
+            self._claimed_offset = NO_OFFSET
+        # The pending long poll may be one that is never answered.
         self._reads.renew(Topic.NODES)
 
-    def _take_registration(self, answered: RegistrationAnswered) -> None:
-        """Note that this node is known, or try again."""
+    def _handle_registration_answer(
+        self, answered: RegistrationAnswered
+    ) -> None:
+        """Record that this node is registered, or allow another attempt."""
         if answered.offset is None:
             self._is_registering = False
             return
-        self._is_recorded = True
+        self._is_registered = True
         emit(
             Event.NODE_REGISTERED,
             node=self._own.node,
             offset=answered.offset,
         )
 
-    def _take_records(self, read: RecordsRead, now: float) -> None:
+    def _handle_records(self, read: RecordsRead, now: float) -> None:
         for offset in read.page.unreadable:
             emit(
                 Event.RECORD_UNREADABLE,
@@ -435,15 +442,15 @@
             case Topic.CONFIGURATION:
                 for record in read.page.records:
                     if record.key == _CONFIGURATION_KEY:
-                        self._take_document(record.value, "the store", now)
+                        self._apply_document(record.value, "the store", now)
             case Topic.NODES:
-                self._take_nodes(read, now)
+                self._handle_node_records(read, now)
             case Topic.SERVERS:
-                if self._leading is not None:
-                    self._leading.note_servers(read, now)
+                if self._leader_role is not None:
+                    self._leader_role.note_servers(read, now)
 
-    def _take_document(self, document: bytes, source: str, now: float) -> None:
-        """Put a configuration in force if it is newer."""
+    def _apply_document(self, document: bytes, source: str, now: float) -> None:
+        """Put a configuration into force if it is newer."""
         if not document:
             return
         decoded = self._ports.decode_configuration(document)
@@ -456,9 +463,9 @@
             return
         self._state.routes = RouteTable(configuration=configuration)
         self._document = document
-        self._document_taken = now
-        if self._leading is not None:
-            self._leading.set_configuration(configuration)
+        self._in_force_since = now
+        if self._leader_role is not None:
+            self._leader_role.set_configuration(configuration)
         keys = configuration.keys
         emit(
             Event.REVISION_IN_FORCE,
@@ -468,15 +475,15 @@
             keys=0 if keys is None else len(keys),
         )
 
-    def _take_nodes(self, read: RecordsRead, now: float) -> None:
-        """Take the records of nodes and of claims to lead."""
+    def _handle_node_records(self, read: RecordsRead, now: float) -> None:
+        """Apply records of nodes, of leadership claims and of suspects."""
         known = self._state.known_nodes
         former_era = self._nodes_era
-        is_copy = former_era is not None and read.page.era > former_era
+        is_restored = former_era is not None and read.page.era > former_era
         if read.is_snapshot:
             self._nodes_era = read.page.era
             self.suspicion.forget_kept()
-        if read.is_snapshot and not is_copy:
+        if read.is_snapshot and not is_restored:
             known.clear()
         for record in read.page.records:
             name = record.key.removeprefix(NODE_PREFIX)
@@ -484,28 +491,28 @@
                 if record.key == LEADER_KEY:
                     entry = _LEADER_DECODER.decode(record.value)
                     term = make_term(read.page.era, record.offset)
-                    self._take_claim(Claim(term, entry), now)
+                    self._apply_claim(Claim(term, entry), now)
                 elif record.key.startswith(SUSPECT_PREFIX):
                     content = record.key.removeprefix(SUSPECT_PREFIX)
                     self.suspicion.note_kept(content, record.value, now)
                 elif not record.value:
                     known.pop(name, None)
                 elif record.key.startswith(NODE_PREFIX):
-                    self._take_node(_NODE_DECODER.decode(record.value), now)
+                    self._add_node(_NODE_DECODER.decode(record.value), now)
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
                 emit(Event.RECORD_UNREADABLE, key=record.key, reason=str(error))
-        if is_copy and not self._is_recorded_in(read):
+        if is_restored and not self._contains_own_record(read):
             self._is_registering = False
-            self._is_recorded = False
-        # This process may have taken the place of the leader itself.
+            self._is_registered = False
+        # This process may itself be the successor of the leader's process.
         self._leadership.note_node(self._leadership.own_entry, now)
-        self._end = read.page.next_offset
-        if self._first_read is None:
-            self._first_read = now
+        self._next_nodes_offset = read.page.next_offset
+        if self._first_read_time is None:
+            self._first_read_time = now
             self._first_term = self._leadership.term
 
-    def _is_recorded_in(self, read: RecordsRead) -> bool:
-        """Tell whether the record of this process is among those read."""
+    def _contains_own_record(self, read: RecordsRead) -> bool:
+        """Return whether the page contains the record of this process."""
         value = msgspec.json.encode(self._own)
         return any(
             record.key == f"{NODE_PREFIX}{self._own.node}"
@@ -513,21 +520,23 @@
             for record in read.page.records
         )
 
-    def _take_node(self, entry: NodeEntry, now: float) -> None:
-        """Know a process that has registered."""
+    def _add_node(self, entry: NodeEntry, now: float) -> None:
+        """Add the entry of a node process."""
         self._state.known_nodes[entry.node] = entry
         self._leadership.note_node(
             LeaderEntry(entry.node, entry.incarnation), now
         )
 
-    def _note_nodes(self, nodes: Iterable[NodeEntry], now: float) -> None:
-        """Know the nodes that a leader tells of, read or not."""
+    def _add_announced_nodes(
+        self, nodes: Iterable[NodeEntry], now: float
+    ) -> None:
+        """Add announced nodes, whether or not the store returned them."""
         for entry in nodes:
             if self._state.known_nodes.get(entry.node) != entry:
-                self._take_node(entry, now)
+                self._add_node(entry, now)
         self._is_designated = is_designated(self._own, nodes)
 
-    def _take_claim(self, claim: Claim, now: float) -> None:
+    def _apply_claim(self, claim: Claim, now: float) -> None:
         if not self._leadership.note_claim(claim, now):
             return
         emit(
@@ -537,11 +546,11 @@
             own=self._leadership.is_leader,
         )
         if self._leadership.is_leader:
-            self._lead(claim.term, now)
+            self._start_leading(claim.term, now)
         else:
             self._step_down(f"{claim.entry.node} has claimed to lead")
 
-    def _take_reply(self, answered: OrderAnswered, now: float) -> None:
+    def _handle_order_answer(self, answered: OrderAnswered, now: float) -> None:
         reply = answered.reply
         outcome = answered.detail if reply is None else reply.value
         order = answered.order
@@ -561,25 +570,25 @@
                 epoch=order.epoch,
                 outcome=outcome,
             )
-        if self._leading is not None:
-            self._leading.note_reply(answered, now)
+        if self._leader_role is not None:
+            self._leader_role.note_reply(answered, now)
 
-    def _take_answer(self, answered: PeerAnswered, now: float) -> None:
-        """Take what came of an announcement, of the leader or of a relay."""
+    def _handle_peer_answer(self, answered: PeerAnswered, now: float) -> None:
+        """Handle the answer to an announcement by the leader or a relay."""
         answer = answered.acknowledgement
-        if self._leading is None:
+        if self._leader_role is None:
             self._relay.note_answered(answered, now)
         else:
-            self._leading.note_answered(answered, now)
+            self._leader_role.note_answered(answered, now)
         if answer is None:
             return
         if answer.node.incarnation != answered.incarnation:
-            # A new process has the address; its record may come later.
-            self._take_node(answer.node, now)
+            # A new process uses the address; its record may arrive later.
+            self._add_node(answer.node, now)
             return
         relayed = -1 if answer.relayed is None else answer.relayed.term
         if max(answer.term, relayed) > self._leadership.term:
-            self._step_down(f"{answer.node.node} knows a newer leader")
+            self._step_down(f"{answer.node.node} has a newer leader")
 
     # Following a leader.
 
@@ -588,7 +597,7 @@
         if announcement.term > self._leadership.term:
             leader = announcement.leader
             entry = LeaderEntry(leader.node, leader.incarnation)
-            self._take_claim(Claim(announcement.term, entry), now)
+            self._apply_claim(Claim(announcement.term, entry), now)
         self._leadership.note_announcement(
             announcement.term,
             lost_after_s=announcement.lost_after_s,
@@ -598,7 +607,7 @@
         )
         if announcement.nodes is not None:
             state.nodes = announcement.nodes
-            self._note_nodes(announcement.nodes, now)
+            self._add_announced_nodes(announcement.nodes, now)
             state.nodes_version = (
                 announcement.term,
                 announcement.nodes_sequence,
@@ -609,7 +618,7 @@
                 announcement.suspects,
                 now,
             )
-        counted = self._told_loads.find_counted(
+        counted = self._reported_loads.find_counted(
             announcement.term, announcement.loads_lag
         )
         state.take_loads(
@@ -628,40 +637,40 @@
             self._reads.store.note_doubt(now)
         news = StoreNews(announcement.term, announcement.store_returns)
         if self._reads.store.note_news(news):
-            self._renew_reads("the leader tells that the store is back")
+            self._renew_reads("the leader announced that the store recovered")
         self._revisions.note_told(announcement.revision, state.revision, now)
-        self._teller = announcement.leader
-        self._room.notify()
+        self._announcing_leader = announcement.leader
+        self._wait_queue.notify()
 
     # Acting.
 
     def _act(self, now: float) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self._register(now)
-        self._reads.choose()
-        self._claim(now)
-        self._catch_up(now)
-        self._suspect(now)
-        self._state.refill_budgets(is_in_touch=self._is_in_touch(now), now=now)
+        self._reads.update()
+        self._claim_leadership(now)
+        self._fetch_missing_revision(now)
+        self._update_suspects(now)
+        self._state.refill_budgets(is_in_touch=self._has_contact(now), now=now)
         self._limit_reports.act(
-            now, leading=self._leading, leader=self._find_leader()
+            now, leading=self._leader_role, leader=self._find_leader()
         )
         if self._state.limits:
-            # A request that waits may be sent when its time has come.
-            self._room.notify()
-        if self._leading is None:
+            # The rate limit may now admit a waiting request.
+            self._wait_queue.notify()
+        if self._leader_role is None:
             return
         view = self._state.view
-        self._leading.act(now)
+        self._leader_role.act(now)
         if self._state.view is not view:
-            self._room.notify()
+            self._wait_queue.notify()
 
-    def _catch_up(self, now: float) -> None:
-        """Get a configuration that the store has not given to this node."""
+    def _fetch_missing_revision(self, now: float) -> None:
+        """Fetch a newer revision from a node if the store did not return it."""
         state = self._state
-        holder = self._teller
-        if self._leading is not None:
-            summary = self._leading.summary
+        holder = self._announcing_leader
+        if self._leader_role is not None:
+            summary = self._leader_role.summary
             self._revisions.note_told(summary.revision, state.revision, now)
             holder = summary.holder
         is_reading = self._is_read(Topic.CONFIGURATION)
@@ -669,33 +678,33 @@
             state.revision, now, is_reading=is_reading
         ):
             return
-        near = tuple(
-            one
-            for one in list_designated(self._own.data_centre, state.nodes)
-            if one != self._own
+        local_nodes = tuple(
+            node
+            for node in list_designated(self._own.data_centre, state.nodes)
+            if node != self._own
         )
         source = self._revisions.choose_source(
-            near, holder, state.generator, now
+            local_nodes, holder, state.generator, now
         )
         if source is not None:
             self._outbound.fetch_document(source)
 
-    def _suspect(self, now: float) -> None:
-        """Tell of requests that crash servers, and find which to withhold."""
+    def _update_suspects(self, now: float) -> None:
+        """Report requests that crash servers, and update which are withheld."""
         is_heard = self._leadership.is_heard(now)
         is_changed = self.suspicion.act(
             now,
-            term=None if self._leading is None else self._leading.term,
+            term=None if self._leader_role is None else self._leader_role.term,
             leader=self._find_leader() if is_heard else None,
             reaches_store=self._reads.store.lost_at is None,
         )
         if is_changed:
-            # Those that wait for a place may have to go.
-            self._room.notify()
+            # Waiting requests may have to be rejected.
+            self._wait_queue.notify()
 
     def _register(self, now: float) -> None:
-        """Write the record of this node, once in its life, when it is time."""
-        if self._is_registering or self._first_read is None:
+        """Write the record of this node when due, once per incarnation."""
+        if self._is_registering or self._first_read_time is None:
             return
         leadership = self._leadership
         claim = leadership.claim
@@ -704,56 +713,58 @@
             rank=self._find_rank(),
             is_led=is_new or leadership.is_heard(now),
             was_leader=claim is not None and claim.entry.node == self._own.node,
-            waited_s=now - self._first_read,
+            waited_s=now - self._first_read_time,
         ):
             return
         self._is_registering = True
         self._outbound.register(self._own)
 
-    def _claim(self, now: float) -> None:
-        """Claim to lead when nobody does."""
+    def _claim_leadership(self, now: float) -> None:
+        """Claim leadership if no node leads."""
         leadership = self._leadership
         state = self._state
-        # Else the record of this node would overtake its claim.
-        is_able = self._is_known and state.routes is not None
-        # While reads fail, a claim would be a call that is paid for in vain.
+        # Otherwise the record of this node would overtake its own claim.
+        is_able = self._has_read_own_record and state.routes is not None
+        # While reads fail, a claim would be billed without any use.
         is_able = is_able and self._reads.is_current(Topic.NODES)
         if not is_able or self._is_claiming or state.is_stopping:
             return
-        if self._end == self._tried_end:
+        if self._next_nodes_offset == self._claimed_offset:
             return
         nodes = len(state.known_nodes)
         if not leadership.should_claim(self._find_rank(), nodes, now):
             return
         leadership.note_try(now)
         self._is_claiming = True
-        self._tried_end = self._end
-        self._outbound.claim(leadership.own_entry, self._end)
+        self._claimed_offset = self._next_nodes_offset
+        self._outbound.claim(leadership.own_entry, self._next_nodes_offset)
 
     def _find_rank(self) -> int:
-        """Return the place of this node in the order of claims.
+        """Return the rank of this node in the order of claims.
 
         Nodes with more processor time come first: on a host with an eighth of
-        a core, orders and questions of the leader ran into their timeouts.
-        The last leader comes last, since it was lost just now.
+        a core, the leader's orders and status queries time out. The previous
+        leader comes last, since it has just been lost.
         """
         claim = self._leadership.claim
-        last = None if claim is None else claim.entry.incarnation
+        last_incarnation = None if claim is None else claim.entry.incarnation
 
-        def rank(one: NodeEntry) -> tuple[bool, float, NodeEntry]:
-            return (one.incarnation == last, -one.cores, one)
+        def make_sort_key(node: NodeEntry) -> tuple[bool, float, NodeEntry]:
+            return (node.incarnation == last_incarnation, -node.cores, node)
 
-        own = rank(self._own)
+        own = make_sort_key(self._own)
         others = self._state.known_nodes.values()
         return sum(
-            rank(one) < own for one in others if one.node != self._own.node
+            make_sort_key(node) < own
+            for node in others
+            if node.node != self._own.node
         )
 
-    def _lead(self, term: int, now: float) -> None:
-        """Begin to lead, or to lead in a term of a later era."""
-        was_leading = self._leading is not None
+    def _start_leading(self, term: int, now: float) -> None:
+        """Start to lead, or continue in a new term after a restored backup."""
+        was_leading = self._leader_role is not None
         self._stop_leading()
-        self._leading = Leading(
+        self._leader_role = Leading(
             term=term,
             state=self._state,
             store=self._reads.store,
@@ -762,10 +773,10 @@
             entries=self._entries,
         )
         if was_leading:
-            self._leading.take_over(now)
+            self._leader_role.keep_known_servers(now)
         self._reads.begin_term(now)
 
     def _stop_leading(self) -> None:
-        if self._leading is not None:
-            self._leading.close()
-            self._leading = None
+        if self._leader_role is not None:
+            self._leader_role.close()
+            self._leader_role = None
--- a/chervilrock/tasks/serving/reads.py
+++ b/chervilrock/tasks/serving/reads.py
@@ -1,4 +1,4 @@
-"""What a node reads of the store, how often, and whether it is answered."""
+"""Reads of the store by a node: their topics, schedules and availability."""
 
 from collections.abc import Callable
 
@@ -21,11 +21,11 @@
 class StoreReads:
     """Follows the topics that every node may have to read.
 
-    The servers are followed by the leader alone, which tells here whether its
+    Only the leader follows the servers topic, and records here whether those
     reads are answered.
 
     Attributes:
-      store: what the ends of all calls to the store come to.
+      store: availability of the store, from the outcomes of all calls to it.
     """
 
     def __init__(
@@ -35,25 +35,25 @@
         describe_reader: Callable[[], Reader],
         now: float,
     ) -> None:
-        """Read nothing before `start`.
+        """Create the reads without starting them.
 
         Args:
           outbound: makes calls.
-          describe_reader: returns what the node is at present.
+          describe_reader: returns the current properties of the node.
           now: present time.
         """
         self.store = StoreWatch(now=now)
         self._outbound = outbound
         self._describe_reader = describe_reader
-        # By topic, since one may be answered while another one is not.
+        # Separate for each topic, as one may be answered while another is not.
         self._dependencies = {
             topic: _make_dependency(topic, now) for topic in Topic
         }
-        self._followings: dict[Topic, Following] = {}
+        self._follower_tasks: dict[Topic, Following] = {}
 
     def start(self) -> None:
-        """Begin to read the configuration, nodes and leaders."""
-        self._followings = {
+        """Start to read the configuration, nodes and leadership claims."""
+        self._follower_tasks = {
             Topic.CONFIGURATION: self._outbound.follow(
                 Topic.CONFIGURATION,
                 lambda: choose_configuration_pace(self._describe_reader()),
@@ -64,65 +64,65 @@
             ),
         }
 
-    def choose(self) -> None:
-        """Read those topics that the node has to read by itself now."""
+    def update(self) -> None:
+        """Resume or pause each topic, as the node currently has to read it."""
         reader = self._describe_reader()
         for topic, is_read in (
             (Topic.CONFIGURATION, reads_configuration(reader)),
             (Topic.NODES, reads_nodes(reader)),
         ):
-            following = self._followings[topic]
+            follower_task = self._follower_tasks[topic]
             if is_read:
-                following.resume()
+                follower_task.resume()
             else:
-                following.pause()
+                follower_task.pause()
 
     def is_read(self, topic: Topic) -> bool:
-        """Tell whether a topic is read now."""
-        following = self._followings.get(topic)
-        return following is not None and not following.is_paused
+        """Return whether a topic is currently read."""
+        follower_task = self._follower_tasks.get(topic)
+        return follower_task is not None and not follower_task.is_paused
 
     def is_current(self, topic: Topic) -> bool:
-        """Tell whether a topic is read, and its last call was answered."""
-        return self._followings[topic].is_current
+        """Return whether a topic is read and its last call was answered."""
+        return self._follower_tasks[topic].is_current
 
     def renew(self, topic: Topic) -> None:
-        """Begin the read of a topic anew, if it is read."""
-        self._followings[topic].renew()
+        """Restart the read of a topic, if the topic is read."""
+        self._follower_tasks[topic].renew()
 
     def renew_all(self, reason: str, answered: Topic | None = None) -> None:
-        """Begin all reads anew but that of the topic that was answered.
+        """Restart all reads except that of the topic that was answered.
 
-        After silences of 0.2 to 13 s, reads that had been begun in them kept
-        six nodes without configurations for 5.9 s at the worst; begun anew,
-        for 1.4 s.
+        Reads that begin during a store outage are not answered after it. After
+        outages of 0.2 to 13 s, they keep six nodes without new configurations
+        for up to 5.9 s; restarted reads for up to 1.4 s.
         """
         emit(Event.READS_RENEWED, reason=reason)
-        for topic, following in self._followings.items():
+        for topic, follower_task in self._follower_tasks.items():
             if topic is not answered:
-                following.renew()
+                follower_task.renew()
 
     def begin_term(self, now: float) -> None:
-        """Read as the leader from now on."""
+        """Start to read as the leader."""
         servers = Topic.SERVERS
         self._dependencies[servers] = _make_dependency(servers, now)
         self.store.begin_term(now)
         self.renew(Topic.CONFIGURATION)
 
     def note_answer(self, topic: Topic, now: float) -> bool:
-        """Note an answer of the store; tell whether it is back with it."""
+        """Record an answer of the store; return whether it has recovered."""
         self._dependencies[topic].note_answer(now)
         return self.store.note_answer(topic.value, now)
 
     def note_failure(self, failed: ReadFailed, now: float) -> None:
-        """Note that a topic could not be read."""
+        """Record a failed read of a topic."""
         self._dependencies[failed.topic].note_failure(failed.reason, now)
         self.store.note_failure(
             failed.topic.value, now, is_silent=failed.is_silent
         )
 
     def find_age(self, topic: Topic, now: float) -> float:
-        """Return the seconds since the store answered for a topic."""
+        """Return the seconds since the last answer for a topic."""
         return now - self._dependencies[topic].answered
 
 
