--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -1,8 +1,8 @@
-"""Node tasks before a store that falls silent, in virtual time.
+"""Node tasks with a store that stops answering, in virtual time.
 
-Nodes speak to each other and to the store by plain calls. An answer that the
-silence of the store swallows never comes, also not after the store is back,
-and a read that it held at that moment is forgotten.
+Nodes call each other and the store directly. An answer that is lost in a store
+outage is not sent after the outage either, and long polls that are pending when
+it begins are dropped.
 """
 
 import asyncio
@@ -44,20 +44,20 @@
 from chervilrock.tasks.serving.state import RepeatBounds, ServingState
 
 STORE_S = 0.004
-"""Time that the store takes for an answer."""
+"""Time in which the store answers a call."""
 
 LINK_S = 0.001
-"""Time from one node to another."""
+"""One-way delay between two nodes."""
 
 HEARTBEAT_S = 0.025
-"""Time between two records of servers."""
+"""Time between two records that servers write."""
 
 STEP_S = 0.01
-"""How exactly it is noted when a revision comes in force."""
+"""Resolution of the times at which revisions come into force."""
 
 
 SERVICE = "desk"
-"""The plain service of the only server."""
+"""Service of the only server, which needs no group."""
 
 STAYING = b"stays"
 LEAVING = b"leaves"
@@ -65,13 +65,12 @@
 
 
 class Fault(enum.Enum):
-    """What becomes of calls to the store.
+    """Outcome of calls to the store during an outage.
 
     Attributes:
-      SILENT: they are carried out and not answered.
-      RESET: they fail, those under way at once; while it lasts, further ones
-        are not answered.
-      BUSY: they fail at once; reads that are held are forgotten.
+      SILENT: calls are carried out but not answered.
+      RESET: pending calls fail at once; later ones are not answered.
+      BUSY: calls fail at once; pending long polls are dropped.
     """
 
     SILENT = "silent"
@@ -83,9 +82,9 @@
     """Topics that all nodes share.
 
     Attributes:
-      era: how often it came back from a copy.
-      newest_s: time that it takes to return the newest records of a topic,
-        for those that are longer than others.
+      era: number of restores from a backup.
+      fetch_newest_s: time for a fetch of the newest records, for each topic
+        that takes longer than others.
     """
 
     def __init__(self) -> None:
@@ -107,20 +106,20 @@
         return len(records) - 1
 
     def restore(self, age_s: float) -> None:
-        """Come back from a copy: later records are gone."""
+        """Restore from a backup of some age, which lacks later records."""
         limit = asyncio.get_running_loop().time() - age_s
         self.era += 1
         for topic, times in self._times.items():
-            kept = sum(one <= limit for one in times)
+            kept = sum(time <= limit for time in times)
             del times[kept:]
             del self.topics[topic][kept:]
 
 
-class Line(KeyedStore):
-    """The store as one node reaches it.
+class StoreConnection(KeyedStore):
+    """Connection of one node to the store.
 
     Attributes:
-      calls: calls that were made.
+      calls: number of calls that were made.
     """
 
     def __init__(self, *, store: Store) -> None:
@@ -130,13 +129,13 @@
         self.calls = 0
 
     def begin(self, fault: Fault) -> None:
-        """Answer no call that is under way, and no later one."""
+        """Begin a fault that affects pending and later calls."""
         self._fault = fault
         self._broken.set()
         self._broken = asyncio.Event()
 
-    def end(self) -> None:
-        """Answer the calls that begin from now on."""
+    def end_fault(self) -> None:
+        """End the fault for calls that begin later."""
         if self._fault is None:
             return
         self._fault = None
@@ -147,22 +146,22 @@
         return await self._call(self._list_newest(topic), TIMEOUT_S)
 
     async def read(self, topic: Topic, start: int, wait_s: float) -> Any:
-        work = self._wait_for(topic, start, wait_s)
-        return await self._call(work, TIMEOUT_S + wait_s)
+        call = self._wait_for(topic, start, wait_s)
+        return await self._call(call, TIMEOUT_S + wait_s)
 
     async def append(
         self, topic: Topic, key: str, value: bytes, expected_end: int | None
     ) -> Any:
-        work = self._append(topic, key, value, expected_end)
-        return await self._call(work, TIMEOUT_S)
+        call = self._append(topic, key, value, expected_end)
+        return await self._call(call, TIMEOUT_S)
 
-    async def _call(self, work: Any, timeout_s: float) -> Any:
+    async def _call(self, operation: Any, timeout_s: float) -> Any:
         self.calls += 1
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         fault = self._fault
         broken = asyncio.ensure_future(self._broken.wait())
-        call = asyncio.ensure_future(work)
+        call = asyncio.ensure_future(operation)
         try:
             if fault is None:
                 await asyncio.wait(
@@ -174,9 +173,9 @@
                     return Success(call.result())
                 fault = self._fault
             if fault is Fault.BUSY or (fault is Fault.RESET and broken.done()):
-                return _fail(PlatformErrorKind.OUTAGE, "no service")
-            await asyncio.sleep(max(0.0, end - loop.time()))
-            return _fail(PlatformErrorKind.TIMEOUT, "no answer")
+                return _make_failure(PlatformErrorKind.OUTAGE, "no service")
+            await asyncio.sleep(max(0.0, deadline - loop.time()))
+            return _make_failure(PlatformErrorKind.TIMEOUT, "no answer")
         finally:
             call.cancel()
             broken.cancel()
@@ -184,7 +183,7 @@
     async def _list_newest(self, topic: Topic) -> KeyedPage:
         await asyncio.sleep(self._store.newest_s.get(topic, STORE_S))
         records = self._store.topics[topic]
-        newest = {one.key: one for one in records}
+        newest = {record.key: record for record in records}
         return KeyedPage(
             tuple(newest.values()), len(records), era=self._store.era
         )
@@ -211,7 +210,7 @@
     async def _append(
         self, topic: Topic, key: str, value: bytes, expected_end: int | None
     ) -> int | None:
-        # The store carries out the appends to a topic one after the other.
+        # The store serializes the appends to a topic.
         async with self._store.appending[topic]:
             await asyncio.sleep(STORE_S)
             records = self._store.topics[topic]
@@ -220,75 +219,77 @@
             return self._store.append(topic, key, value)
 
 
-def _fail(kind: PlatformErrorKind, message: str) -> Any:
+def _make_failure(kind: PlatformErrorKind, message: str) -> Any:
     return Failure(PlatformError(kind, message))
 
 
-class Member(NamedTuple):
-    """A node of the installation."""
+class RunningNode(NamedTuple):
+    """A running node of the installation."""
 
     task: NodeTask
     state: ServingState
-    line: Line
+    connection: StoreConnection
     running: "asyncio.Task[None]"
 
 
 class PeerClient:
-    """Calls other nodes; one that is gone does not answer."""
+    """Calls other nodes; a killed or partitioned one does not answer."""
 
     def __init__(
-        self, *, members: dict[str, Member], own: str, parted: set[str]
+        self, *, members: dict[str, RunningNode], own: str, parted: set[str]
     ) -> None:
         self._members = members
         self._own = own
-        self._parted = parted
+        self._partitioned = parted
 
     async def request(self, method: str, url: str, **options: Any) -> Any:
         del method
         address, _, path = url.removeprefix("http://").partition("/")
         await asyncio.sleep(LINK_S)
-        member = self._members.get(address)
-        is_parted = (address in self._parted) != (self._own in self._parted)
-        if member is None or self._own not in self._members or is_parted:
+        node = self._members.get(address)
+        is_partitioned = (address in self._partitioned) != (
+            self._own in self._partitioned
+        )
+        if node is None or self._own not in self._members or is_partitioned:
             await asyncio.sleep(options["timeout_s"])
-            return _fail(PlatformErrorKind.TIMEOUT, "no answer")
+            return _make_failure(PlatformErrorKind.TIMEOUT, "no answer")
         if path == "peer/configuration":
-            body = member.task.get_document()
+            body = node.task.get_document()
         elif path == "peer/ends":
             report = decode_ends(options["body"])
             assert report is not None
             now = asyncio.get_running_loop().time()
-            member.task.suspicion.note_report(report, now)
+            node.task.suspicion.note_report(report, now)
             body = b""
         else:
             announcement = decode_announcement(gzip.decompress(options["body"]))
             assert announcement is not None
             now = asyncio.get_running_loop().time()
-            answer = member.task.take_announcement(announcement, now)
+            answer = node.task.take_announcement(announcement, now)
             body = msgspec.json.encode(answer)
         await asyncio.sleep(LINK_S)
         return Success(HttpAnswer(200, body, 0.0, False))
 
 
 class Liveness(ServerLiveness):
-    """Knows which servers have ended, by their addresses."""
+    """Distinguishes live servers from crashed ones by address."""
 
-    def __init__(self, *, ended: set[str]) -> None:
-        self._ended = ended
+    def __init__(self, *, crashed: set[str]) -> None:
+        self._crashed = crashed
 
     async def is_alive(self, address: str) -> bool:
         await asyncio.sleep(2 * LINK_S)
-        return address not in self._ended
+        return address not in self._crashed
 
 
 class Installation:
     """Nodes, a store and an operator.
 
     Attributes:
-      ended: addresses of servers that have ended.
-      parted: addresses of nodes that only reach each other.
-      members: the nodes that run, by address.
-      failures: how nodes have ended by themselves.
+      crashed_servers: addresses of servers that have crashed.
+      partitioned: addresses of nodes that only reach each other.
+      running_nodes: the running nodes by address.
+      failures: errors with which node tasks have ended.
     """
 
     def __init__(self, *, monkeypatch: Any, seed: int) -> None:
@@ -298,20 +299,20 @@
         self.ended: set[str] = set()
         self.parted: set[str] = set()
         self.store = Store()
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, RunningNode] = {}
         self.failures: list[BaseException | None] = []
         self.generator = random.Random(seed)
         self._entry = STAYING
         self._starts = 0
         self._confirmed: dict[int, float] = {}
         self._in_force: dict[tuple[str, int], float] = {}
-        self._work = [
+        self._background_tasks = [
             asyncio.ensure_future(self._write_heartbeats()),
-            asyncio.ensure_future(self._watch()),
+            asyncio.ensure_future(self._watch_revisions()),
         ]
 
     async def start(self, *, nodes: int, places: int) -> None:
-        """Start nodes one upon another and wait until one of them leads."""
+        """Start nodes shortly after each other; wait until one leads."""
         self.change(1)
         for number in range(nodes):
             self.add(f"n{number:02}", f"p{number % places}")
@@ -320,61 +321,62 @@
         assert self.find_leader() is not None
 
     def change(self, revision: int) -> None:
-        """Confirm a revision as the operator."""
+        """Write a revision to the store as the operator."""
         value = str(revision).encode()
         self.store.append(Topic.CONFIGURATION, "config", value)
         self._confirmed[revision] = self.loop.time()
 
-    def leave(self) -> None:
-        """Let the only server tell that it leaves."""
+    def mark_server_leaving(self) -> None:
+        """Write to the store that the only server is leaving."""
         self._entry = LEAVING
         self.store.append(Topic.SERVERS, "s", LEAVING)
 
     def has_no_server(self) -> bool:
-        """Tell whether all nodes know that the server leaves."""
+        """Return whether no node has the leaving server in its view."""
         return all(
-            member.state.view.sequence and not member.state.view.servers
-            for member in self.members.values()
+            node.state.view.sequence and not node.state.view.servers
+            for node in self.members.values()
         )
 
     def find_leader(self) -> str | None:
-        for address, member in self.members.items():
-            if member.task.is_leader:
+        for address, node in self.members.items():
+            if node.task.is_leader:
                 return address
         return None
 
     def kill(self, address: str) -> None:
-        """End a node; nobody reaches it any more."""
+        """Stop a node, which no other node can reach any more."""
         self.members.pop(address).running.cancel()
 
     def begin(self, fault: Fault, addresses: Iterable[str] = ()) -> None:
         """Begin a fault of the store for some nodes, or for all."""
         for address in addresses or self.members:
-            self.members[address].line.begin(fault)
+            self.members[address].connection.begin(fault)
 
-    def end(self) -> None:
-        """End the faults."""
-        for member in self.members.values():
-            member.line.end()
+    def end_fault(self) -> None:
+        """End the faults of all nodes."""
+        for node in self.members.values():
+            node.connection.end_fault()
 
     def count_calls(self) -> int:
-        return sum(one.line.calls for one in self.members.values())
+        return sum(node.connection.calls for node in self.members.values())
 
     async def wait(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Wait until a condition holds, or until a time is over."""
-        end = self.loop.time() + limit_s
-        while not condition() and self.loop.time() < end:
+        """Wait until a condition holds or the time limit has passed."""
+        deadline = self.loop.time() + limit_s
+        while not condition() and self.loop.time() < deadline:
             await asyncio.sleep(STEP_S)
 
     def is_in_force(self) -> bool:
-        """Tell whether all nodes have all revisions."""
+        """Return whether all nodes have all revisions."""
         return self.find_lateness(0.0) < float("inf")
 
     def find_lateness(self, since: float) -> float:
-        """Return the longest time until a revision was in force somewhere.
+        """Return the longest time until a revision was in force on a node.
 
         Args:
-          since: time from which on it could be, at the earliest.
+          since: start of the measured time for revisions that were confirmed
+            before.
         """
         return max(
             self._in_force.get((address, revision), float("inf"))
@@ -384,28 +386,31 @@
         )
 
     async def stop(self) -> None:
-        work = [*self._work, *(one.running for one in self.members.values())]
-        for one in work:
-            one.cancel()
-        await asyncio.gather(*work, return_exceptions=True)
+        tasks = [
+            *self._background_tasks,
+            *(node.running for node in self.members.values()),
+        ]
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
         assert not self.failures, self.failures
 
-    def _note_end(self, running: "asyncio.Task[None]") -> None:
+    def _collect_failure(self, running: "asyncio.Task[None]") -> None:
         if not running.cancelled():
             self.failures.append(running.exception())
 
-    def add(self, name: str, place: str) -> None:
+    def add(self, name: str, data_centre: str) -> None:
         """Start a node."""
         self._starts += 1
         own = NodeEntry(
-            name, f"{name}-{self._starts}", name, f"{name}:callers", place
+            name, f"{name}-{self._starts}", name, f"{name}:callers", data_centre
         )
         state = ServingState(
             own=own,
             bounds=RepeatBounds(ratio=0.2, slack=100, window_s=10.0),
             generator=random.Random(self.generator.random()),
         )
-        line = Line(store=self.store)
+        connection = StoreConnection(store=self.store)
         client: Any = PeerClient(
             members=self.members, own=name, parted=self.parted
         )
@@ -413,32 +418,32 @@
         task = NodeTask(
             own=own,
             ports=Ports(
-                store=line,
+                store=connection,
                 engines=unused,
                 client=client,
                 decode_configuration=_decode_configuration,
                 decode_server=_decode_server,
-                liveness=Liveness(ended=self.ended),
+                liveness=Liveness(crashed=self.ended),
             ),
             state=state,
             room=WaitingRoom(),
         )
         running = asyncio.ensure_future(task.run())
-        running.add_done_callback(self._note_end)
-        self.members[name] = Member(task, state, line, running)
+        running.add_done_callback(self._collect_failure)
+        self.members[name] = RunningNode(task, state, connection, running)
 
     async def _write_heartbeats(self) -> None:
         while True:
             self.store.append(Topic.SERVERS, "s", self._entry)
             await asyncio.sleep(HEARTBEAT_S)
 
-    async def _watch(self) -> None:
-        """Note when each node has each revision, or a later one."""
+    async def _watch_revisions(self) -> None:
+        """Record when each node has each revision or a later one."""
         while True:
             now = self.loop.time()
-            for address, member in self.members.items():
+            for address, node in self.members.items():
                 for revision in self._confirmed:
-                    if revision <= member.state.revision:
+                    if revision <= node.state.revision:
                         self._in_force.setdefault((address, revision), now)
             await asyncio.sleep(STEP_S)
 
--- a/test/tasks/sweep.py
+++ b/test/tasks/sweep.py
@@ -1,14 +1,13 @@
-"""Sweeps a fault's length and phase over a bound, in virtual time.
+"""Checks time bounds over ranges of outage lengths and phases.
 
-Plays an installation for each length and phase of a fault, and prints the worst
-case of each bound with what is needed to play it again:
+Simulates an installation in virtual time for each length and phase of a fault.
+Prints the worst case for each bound with the parameters that reproduce it:
 
     python -m test.tasks.sweep --fault silent --nodes 6 --step 0.5
 
-A revision that is confirmed after the fault has to be in force within `BOUND_S`
-everywhere, or `SHORT_BOUND_S` after its beginning, and a server that left to be
-out of use; a leader that is lost in the fault has to be replaced within
-`LEADER_BOUND_S`.
+Within `BOUND_S` a revision that is confirmed after the fault has to be in force
+on all nodes, and a leaving server has to be out of use. If leaders are lost
+during the fault, `LEADER_BOUND_S` applies to both and to their replacement.
 """
 
 from collections.abc import Iterator
@@ -25,7 +24,7 @@
     LEADER_BOUND_S,
     Outage,
     Outcome,
-    play,
+    run_outage,
 )
 from test.tasks.virtual_time import run_virtually
 
@@ -34,7 +33,7 @@
 
 
 class Case(NamedTuple):
-    """A fault that was played, and what came of it."""
+    """A simulated outage and its outcome."""
 
     outage: Outage
     killed: int
@@ -42,10 +41,10 @@
 
 
 class Bound(NamedTuple):
-    """A time that must not be exceeded.
+    """An upper bound of a measured time.
 
     Attributes:
-      name: what it bounds.
+      name: field of `Outcome` that is bounded.
       seconds: the bound.
     """
 
@@ -54,7 +53,7 @@
 
 
 def list_bounds(killed: int) -> list[Bound]:
-    """Return the bounds that hold when some leaders are lost in the fault."""
+    """Return the bounds that hold if some leaders are lost in the fault."""
     seconds = LEADER_BOUND_S if killed else BOUND_S
     bounds = [Bound("lateness_s", seconds), Bound("server_s", seconds)]
     return bounds if not killed else [*bounds, Bound("leaderless_s", seconds)]
@@ -71,26 +70,32 @@
 def sweep(
     outages: Iterator[Outage], monkeypatch: pytest.MonkeyPatch, killed: int
 ) -> Iterator[Case]:
-    """Play faults one after the other."""
+    """Simulate outages one after the other."""
     for outage in outages:
-        outcome = run_virtually(play(monkeypatch, outage, killed))
+        outcome = run_virtually(run_outage(monkeypatch, outage, killed))
         yield Case(outage, killed, outcome)
 
 
 def find_worst(cases: list[Case], bound: Bound) -> Case:
-    """Return the case that comes closest to a bound, or exceeds it most."""
-    return max(cases, key=lambda one: getattr(one.outcome, bound.name))
+    """Return the case with the largest value for a bound."""
+    return max(cases, key=lambda case: getattr(case.outcome, bound.name))
 
 
 def main(
-    fault: Annotated[Fault, typer.Option(help="what becomes of calls")],
-    nodes: Annotated[int, typer.Option(help="nodes")] = 6,
-    longest: Annotated[float, typer.Option(help="longest fault, s")] = 15.0,
-    step: Annotated[float, typer.Option(help="between two lengths, s")] = 0.5,
-    phases: Annotated[int, typer.Option(help="begins that are tried")] = 4,
-    killed: Annotated[int, typer.Option(help="leaders lost in it")] = 0,
+    fault: Annotated[Fault, typer.Option(help="outcome of calls to the store")],
+    nodes: Annotated[int, typer.Option(help="number of nodes")] = 6,
+    longest: Annotated[
+        float, typer.Option(help="longest fault in seconds")
+    ] = 15.0,
+    step: Annotated[
+        float, typer.Option(help="step of the lengths in seconds")
+    ] = 0.5,
+    phases: Annotated[int, typer.Option(help="number of phases to try")] = 4,
+    killed: Annotated[
+        int, typer.Option(help="number of leaders lost during the fault")
+    ] = 0,
 ) -> None:
-    """Print the worst case of each bound; exit 1 when one is exceeded."""
+    """Print the worst case of each bound; exit with 1 if one is exceeded."""
     events.configure_logging(level="ERROR")
     outages = (
         Outage(nodes, length_s, round(number * 0.97, 3), fault)
--- a/test/tasks/sweep_copies.py
+++ b/test/tasks/sweep_copies.py
@@ -1,10 +1,10 @@
-"""Returns of the store from copies, over seeds.
+"""Simulates restores of the store from backups over many seeds.
 
-`python -m test.tasks.sweep_copies --nodes 36 --seeds 20` draws what happened
-before, the age of the copy, the silence, whether a part of the nodes is turned
-away longer, whether the leader is lost with it or all nodes are, and a second
-return; it prints the worst times after the return with their seeds, and each
-seed that did not settle.
+`python -m test.tasks.sweep_restores --nodes 36 --seeds 20` draws earlier
+changes, the age of the backup, the outage, whether some nodes are rejected for
+longer, whether the leader or all nodes are lost, and a second restore. It
+prints the worst times after a restore with their seeds, and each seed that did
+not recover.
 """
 
 import argparse
@@ -16,32 +16,33 @@
 
 from chervilrock.clients.serving import Topic
 from test.tasks.installation import Fault, Installation
-from test.tasks.test_store_copies import is_settled, list_leaders
+from test.tasks.test_store_copies import is_led_by_one, list_leaders
 from test.tasks.virtual_time import run_virtually
 
-PLACES = 3
-OLDEST_S = 10.0
-LONGEST_AWAY_S = 3.0
+DATA_CENTRES = 3
+OLDEST_BACKUP_S = 10.0
+LONGEST_OUTAGE_S = 3.0
 LIMIT_S = 15.0
-"""Longest wait for what is measured."""
+"""Longest wait for each measured condition."""
 
 
-class Figures(NamedTuple):
-    """What one run gave.
+class Result(NamedTuple):
+    """Result of one run.
 
     Attributes:
-      led_s: time from a return until one leads and all use its view.
+      led_s: time from a restore until one node leads and all use its view.
       revision_s: time from the confirmation of a revision until all have it.
-      is_whole: whether all was settled, and all nodes recorded, at the end.
+      is_recovered: whether at the end one node led, all used its view, and the
+        store had the records of all nodes.
     """
 
     led_s: float
     revision_s: float
-    is_whole: bool
+    is_recovered: bool
 
 
-class _Run:
-    """One installation and what is drawn for it."""
+class _Scenario:
+    """One installation and the random events for it."""
 
     def __init__(
         self, *, site: Installation, generator: random.Random, nodes: int
@@ -54,22 +55,24 @@
         self.led_s = 0.0
         self.revision_s = 0.0
 
-    async def play(self) -> Figures:
+    async def play(self) -> Result:
         draw = self._generator
-        await self._site.start(nodes=self._nodes, places=PLACES)
+        await self._site.start(nodes=self._nodes, places=DATA_CENTRES)
         await asyncio.sleep(draw.uniform(0.0, 12.0))
         for _ in range(draw.randint(0, 4)):
             self._change_something()
             await asyncio.sleep(draw.uniform(0.0, 3.0))
         for _ in range(draw.choice((1, 1, 2))):
-            await self._come_back()
+            await self._restore_store()
             await asyncio.sleep(draw.uniform(0.0, 2.0))
         await asyncio.sleep(6.0)
-        records = {one.key for one in self._site.store.topics[Topic.NODES]}
-        wanted = {f"node/{one}" for one in self._site.members}
-        is_whole = is_settled(self._site) and wanted <= records
+        records = {
+            record.key for record in self._site.store.topics[Topic.NODES]
+        }
+        wanted = {f"node/{name}" for name in self._site.members}
+        is_recovered = is_led_by_one(self._site) and wanted <= records
         await self._site.stop()
-        return Figures(self.led_s, self.revision_s, is_whole)
+        return Result(self.led_s, self.revision_s, is_recovered)
 
     def _change_something(self) -> None:
         draw = self._generator.random()
@@ -79,12 +82,12 @@
             self._confirm()
         else:
             self._added += 1
-            place = self._generator.randrange(PLACES)
-            self._site.add(f"x{self._added}", f"p{place}")
+            data_centre = self._generator.randrange(DATA_CENTRES)
+            self._site.add(f"x{self._added}", f"p{data_centre}")
 
     def _kill_leader(self) -> None:
         leaders = list_leaders(self._site)
-        if leaders and len(self._site.members) > PLACES:
+        if leaders and len(self._site.members) > DATA_CENTRES:
             self._site.kill(leaders[0])
 
     def _confirm(self) -> None:
@@ -98,32 +101,32 @@
         for address, member in members:
             self._site.add(address, member.state.own.data_centre)
 
-    async def _come_back(self) -> None:
+    async def _restore_store(self) -> None:
         draw = self._generator
         site = self._site
         site.begin(draw.choice(list(Fault)))
-        away_s = draw.uniform(0.05, LONGEST_AWAY_S)
-        await asyncio.sleep(away_s)
-        site.store.restore(away_s + draw.uniform(0.0, OLDEST_S))
-        site.end()
-        back = site.loop.time()
+        outage_s = draw.uniform(0.05, LONGEST_OUTAGE_S)
+        await asyncio.sleep(outage_s)
+        site.store.restore(outage_s + draw.uniform(0.0, OLDEST_BACKUP_S))
+        site.end_fault()
+        restored = site.loop.time()
         if draw.random() < 0.3:
             self._kill_leader()
         if draw.random() < 0.2:
             self._restart_all()
         if draw.random() < 0.3:
-            turned_away = sorted(site.members)[::2]
-            site.begin(Fault.BUSY, turned_away)
-            await asyncio.sleep(draw.uniform(0.0, LONGEST_AWAY_S))
-            site.end()
+            rejected = sorted(site.members)[::2]
+            site.begin(Fault.BUSY, rejected)
+            await asyncio.sleep(draw.uniform(0.0, LONGEST_OUTAGE_S))
+            site.end_fault()
         await asyncio.sleep(draw.uniform(0.0, 1.0))
         self._confirm()
         confirmed = site.loop.time()
         await site.wait(self._has_revision, LIMIT_S)
-        late_s = site.loop.time() - confirmed
-        self.revision_s = max(self.revision_s, late_s)
-        await site.wait(lambda: is_settled(site), LIMIT_S)
-        self.led_s = max(self.led_s, site.loop.time() - back)
+        lateness_s = site.loop.time() - confirmed
+        self.revision_s = max(self.revision_s, lateness_s)
+        await site.wait(lambda: is_led_by_one(site), LIMIT_S)
+        self.led_s = max(self.led_s, site.loop.time() - restored)
 
     def _has_revision(self) -> bool:
         return all(
@@ -132,21 +135,21 @@
         )
 
 
-def play(seed: int, nodes: int) -> Figures:
-    """Return what one seed gives."""
+def play(seed: int, nodes: int) -> Result:
+    """Return the result of one seed."""
     with pytest.MonkeyPatch.context() as patch:
 
-        async def run() -> Figures:
+        async def run() -> Result:
             site = Installation(monkeypatch=patch, seed=seed)
             generator = random.Random(seed)
-            one = _Run(site=site, generator=generator, nodes=nodes)
-            return await one.play()
+            scenario = _Scenario(site=site, generator=generator, nodes=nodes)
+            return await scenario.play()
 
         return run_virtually(run())
 
 
 def main() -> None:
-    """Print the worst of some seeds."""
+    """Print the worst results over a range of seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, default=6)
     parser.add_argument("--seeds", type=int, default=50)
@@ -156,12 +159,12 @@
     runs = {seed: play(seed, arguments.nodes) for seed in seeds}
     led = max(runs, key=lambda seed: runs[seed].led_s)
     revision = max(runs, key=lambda seed: runs[seed].revision_s)
-    unsettled = [seed for seed, one in runs.items() if not one.is_whole]
+    unrecovered = [seed for seed, run in runs.items() if not run.is_recovered]
     print(
         f"{arguments.nodes} nodes, {len(runs)} seeds: led after "
         f"{runs[led].led_s:.2f} s (seed {led}), a revision after "
         f"{runs[revision].revision_s:.2f} s (seed {revision}), "
-        f"not settled: {unsettled or 'none'}",
+        f"not recovered: {unrecovered or 'none'}",
         flush=True,
     )
 
