--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -104,7 +104,7 @@
         self._own = own
         self._ports = ports
         self._state = state
-        self._wait_queue = room
+        self._waitqueue = room
         self.mailbox: Mailbox[Message] = Mailbox(size=4096)
         self._leadership = Leadership(
             node=own.node, incarnation=own.incarnation, now=now
@@ -274,7 +274,7 @@
             "short_models": state.shortages.list_short(now),
             "suspects": state.suspects.told,
             "withheld": state.suspects.list_withheld(),
-            "waiting": len(self._wait_queue),
+            "waiting": len(self._waitqueue),
             "repeats": state.describe_budgets(),
             "limits": state.limits.list_limited(),
             "is_stopping": state.is_stopping,
@@ -640,7 +640,7 @@
             self._renew_reads("the leader announced that the store recovered")
         self._revisions.note_told(announcement.revision, state.revision, now)
         self._announcing_leader = announcement.leader
-        self._wait_queue.notify()
+        self._waitqueue.notify()
 
     # Acting.
 
@@ -657,13 +657,13 @@
         )
         if self._state.limits:
             # The rate limit may now admit a waiting request.
-            self._wait_queue.notify()
+            self._waitqueue.notify()
         if self._leader_role is None:
             return
         view = self._state.view
         self._leader_role.act(now)
         if self._state.view is not view:
-            self._wait_queue.notify()
+            self._waitqueue.notify()
 
     def _fetch_missing_revision(self, now: float) -> None:
         """Fetch a newer revision from a node if the store did not return it."""
@@ -700,7 +700,7 @@
         )
         if is_changed:
             # Waiting requests may have to be rejected.
-            self._wait_queue.notify()
+            self._waitqueue.notify()
 
     def _register(self, now: float) -> None:
         """Write the record of this node when due, once per incarnation."""
--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -238,7 +238,7 @@
     def __init__(
         self, *, members: dict[str, RunningNode], own: str, parted: set[str]
     ) -> None:
-        self._members = members
+        self._running_nodes = members
         self._own = own
         self._partitioned = parted
 
@@ -246,11 +246,15 @@
         del method
         address, _, path = url.removeprefix("http://").partition("/")
         await asyncio.sleep(LINK_S)
-        node = self._members.get(address)
+        node = self._running_nodes.get(address)
         is_partitioned = (address in self._partitioned) != (
             self._own in self._partitioned
         )
-        if node is None or self._own not in self._members or is_partitioned:
+        if (
+            node is None
+            or self._own not in self._running_nodes
+            or is_partitioned
+        ):
             await asyncio.sleep(options["timeout_s"])
             return _make_failure(PlatformErrorKind.TIMEOUT, "no answer")
         if path == "peer/configuration":
