--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -100,8 +100,8 @@
         """Send a failure to the outbox and wait before the next attempt."""
         self.has_failed = True
         reason = f"{error.kind.value}: {error.message}"
-        is_silent = error.kind is PlatformErrorKind.TIMEOUT
-        await self._outbox.send(ReadFailed(self._topic, reason, is_silent))
+        is_timeout = error.kind is PlatformErrorKind.TIMEOUT
+        await self._outbox.send(ReadFailed(self._topic, reason, is_timeout))
         await asyncio.sleep(self._retry_s)
         self._retry_s = min(2 * self._retry_s, self._choose_schedule().retry_s)
 
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -635,8 +635,8 @@
             state.view_time = now
         if announcement.is_cut_from_store:
             self._reads.store.note_doubt(now)
-        news = StoreNews(announcement.term, announcement.store_returns)
-        if self._reads.store.note_news(news):
+        store_status = StoreNews(announcement.term, announcement.store_returns)
+        if self._reads.store.note_news(store_status):
             self._renew_reads("the leader announced that the store recovered")
         self._revisions.note_told(announcement.revision, state.revision, now)
         self._announcing_leader = announcement.leader
