--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -1,7 +1,6 @@
 """The task that holds a node's state: configuration, nodes, leader and groups.
 
-The task is the only one to change this state, and receives every change as a
-message.
+The task owns this state and receives changes as messages.
 """
 
 from collections.abc import Iterable
