--- a/chervilrock/tasks/serving/endreports.py
+++ b/chervilrock/tasks/serving/endreports.py
@@ -1,8 +1,9 @@
-"""Telling other nodes of servers that ended under a request.
+"""Reports to other nodes of servers that crashed while they ran a request.
 
-The leader gets each end at once and, when it is a new one, all ends of this
-node again. When it does not answer, or does not act on what it got, all nodes
-are told: each of them can judge by itself.
+The leader gets a report of each crash at once; a new leader gets all crashes
+that this node has seen. If the leader does not answer, or does not withhold a
+request that this node would withhold, the crashes are broadcast to all nodes,
+so that each of them can evaluate them itself.
 """
 
 from collections.abc import Iterable
@@ -13,118 +14,127 @@
 from chervilrock.tasks.serving.outbound import Outbound
 from chervilrock.tasks.serving.state import ServingState
 
-RETRY_S = 0.2
-"""Pause after a report that the leader did not take."""
+REPORT_RETRY_DELAY_S = 0.2
+"""Delay after a report that the leader did not accept."""
 
-MAX_REPORTED = 64
-"""Ends in one report."""
+MAX_REPORTED_CRASHES = 64
+"""Crashes in one report."""
 
-MAX_KEPT = 256
-"""Ends that are told to each new leader."""
+MAX_RETAINED_CRASHES = 256
+"""Crashes that are retained to report them to each new leader."""
 
-Key = tuple[str, str]
-"""A request and a server that ended under it."""
+CrashKey = tuple[str, str]
+"""A request and a server that crashed while it ran the request."""
 
 
-class EndReports:
-    """The ends that this node saw, and who was told of them."""
+class CrashReports:
+    """The crashes that this node saw, and which nodes it reported them to."""
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
-        """Have nothing to tell."""
+        """Create a reporter without crashes.
+
+        Args:
+          state: state of the node.
+          outbound: calls to other nodes.
+        """
         self._state = state
         self._outbound = outbound
-        self._seen: dict[Key, ServerEnd] = {}
-        self._unsent: dict[Key, ServerEnd] = {}
+        self._seen: dict[CrashKey, ServerEnd] = {}
+        self._unsent: dict[CrashKey, ServerEnd] = {}
         self._unsent_cleared: list[str] = []
-        self._spread: set[Key] = set()
+        self._broadcast_done: set[CrashKey] = set()
         self._leader = ""
-        self._is_awaited = False
+        self._is_awaiting_answer = False
         self._retry_at = float("-inf")
 
-    def note_end(self, content: str, end: ServerEnd) -> None:
-        """Tell of a server that ended under a request."""
-        while len(self._seen) >= MAX_KEPT:
+    def note_end(self, content: str, crash: ServerEnd) -> None:
+        """Record a crash of a server that ran a request, to report it."""
+        while len(self._seen) >= MAX_RETAINED_CRASHES:
             oldest = next(iter(self._seen))
             del self._seen[oldest]
-            self._spread.discard(oldest)
-        key = (content, end.server)
-        self._seen[key] = end
-        self._unsent[key] = end
+            self._broadcast_done.discard(oldest)
+        key = (content, crash.server)
+        self._seen[key] = crash
+        self._unsent[key] = crash
 
     def note_clean(self, content: str) -> None:
-        """Tell that a request ran clean."""
+        """Record that a request ran to completion, to report it."""
         self.drop(content)
         self._unsent_cleared.append(content)
 
     def drop(self, content: str) -> None:
-        """Tell no more of a request."""
+        """Drop the crashes of a request, which are not reported any more."""
         for key in self._list_keys({content}):
             del self._seen[key]
             self._unsent.pop(key, None)
-            self._spread.discard(key)
+            self._broadcast_done.discard(key)
 
-    def tell(self, leader: NodeEntry | None, now: float) -> None:
-        """Tell the leader, or all nodes when none is heard."""
+    def send_due(self, leader: NodeEntry | None, now: float) -> None:
+        """Send a report to the leader, or to all nodes if there is none."""
         if leader is not None and leader.incarnation != self._leader:
-            # A new leader knows only what nodes tell it.
+            # A new leader has only the crashes that nodes report to it.
             self._leader = leader.incarnation
-            self._is_awaited = False
+            self._is_awaiting_answer = False
             self._retry_at = now
             self._unsent = dict(self._seen)
         if not self._unsent and not self._unsent_cleared:
             return
         if leader is None:
-            self._spread_out(self._unsent)
-        elif not self._is_awaited and now >= self._retry_at:
-            self._is_awaited = True
+            self._broadcast_keys(self._unsent)
+        elif not self._is_awaiting_answer and now >= self._retry_at:
+            self._is_awaiting_answer = True
             report = EndReport(
-                ends=self._list_ends(self._unsent),
-                cleared=tuple(self._unsent_cleared[:MAX_REPORTED]),
+                ends=self._list_crashes(self._unsent),
+                cleared=tuple(self._unsent_cleared[:MAX_REPORTED_CRASHES]),
             )
             self._outbound.tell_ends(leader, report)
 
-    def keep_to_itself(self) -> None:
-        """Tell nobody what was seen so far, since this node leads."""
+    def discard_unsent(self) -> None:
+        """Discard unsent reports, as this node is the leader itself."""
         self._unsent.clear()
         self._unsent_cleared.clear()
 
     def note_answered(self, answered: EndsAnswered, now: float) -> None:
-        """Take what came of a report."""
+        """Handle the answer to a report."""
         if answered.incarnation != self._leader:
             return
-        self._is_awaited = False
+        self._is_awaiting_answer = False
         if not answered.is_taken:
-            self._retry_at = now + RETRY_S
-            self._spread_out(self._unsent)
+            self._retry_at = now + REPORT_RETRY_DELAY_S
+            self._broadcast_keys(self._unsent)
             return
-        for content, end in answered.report.ends:
-            self._unsent.pop((content, end.server), None)
-        done = set(answered.report.cleared)
+        for content, crash in answered.report.ends:
+            self._unsent.pop((content, crash.server), None)
+        reported = set(answered.report.cleared)
         self._unsent_cleared = [
-            one for one in self._unsent_cleared if one not in done
+            content
+            for content in self._unsent_cleared
+            if content not in reported
         ]
 
-    def spread(self, contents: Iterable[str]) -> None:
-        """Tell all nodes, once, what this one saw of some requests."""
-        self._spread_out(self._list_keys(set(contents)))
+    def broadcast(self, contents: Iterable[str]) -> None:
+        """Report the crashes of some requests to all nodes, each crash once."""
+        self._broadcast_keys(self._list_keys(set(contents)))
 
-    def _spread_out(self, keys: Iterable[Key]) -> None:
-        fresh = [key for key in keys if key not in self._spread]
+    def _broadcast_keys(self, keys: Iterable[CrashKey]) -> None:
+        fresh = [key for key in keys if key not in self._broadcast_done]
         if not fresh:
             return
-        report = EndReport(ends=self._list_ends(fresh))
-        self._spread.update(
-            (content, end.server) for content, end in report.ends
+        report = EndReport(ends=self._list_crashes(fresh))
+        self._broadcast_done.update(
+            (content, crash.server) for content, crash in report.ends
         )
         for entry in self._state.known_nodes.values():
             if entry.incarnation != self._state.own.incarnation:
                 self._outbound.tell_ends(entry, report)
 
-    def _list_keys(self, contents: set[str]) -> list[Key]:
+    def _list_keys(self, contents: set[str]) -> list[CrashKey]:
         return [key for key in self._seen if key[0] in contents]
 
-    def _list_ends(
-        self, keys: Iterable[Key]
+    def _list_crashes(
+        self, keys: Iterable[CrashKey]
     ) -> tuple[tuple[str, ServerEnd], ...]:
         known = [key for key in keys if key in self._seen]
-        return tuple((key[0], self._seen[key]) for key in known[:MAX_REPORTED])
+        return tuple(
+            (key[0], self._seen[key]) for key in known[:MAX_REPORTED_CRASHES]
+        )
--- a/chervilrock/tasks/serving/limitreports.py
+++ b/chervilrock/tasks/serving/limitreports.py
@@ -1,4 +1,4 @@
-"""Reports to the leader of the limits that servers name."""
+"""Reports to the leader of the rate limits that servers return."""
 
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.tasks.serving.leading import Leading
@@ -6,39 +6,40 @@
 from chervilrock.tasks.serving.outbound import Outbound
 from chervilrock.tasks.serving.state import ServingState
 
-REPORT_PAUSE_S = 0.2
-"""Least time between two reports; what the leader tells is back by then."""
+MIN_REPORT_INTERVAL_S = 0.2
+"""Shortest time between two reports. The leader's announcement with the
+reported limits arrives within it."""
 
 
 class LimitReports:
-    """Tells the leader what this node has heard, until the leader tells it."""
+    """Reports new limits to the leader until the leader announces them."""
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
-        """Report nothing yet.
+        """Create a reporter that has sent no report.
 
         Args:
-          state: what the node knows.
-          outbound: makes calls.
+          state: state of the node.
+          outbound: calls to other nodes.
         """
         self._state = state
         self._outbound = outbound
-        self._reported = float("-inf")
+        self._reported_at = float("-inf")
 
     def act(
         self, now: float, *, leading: Leading | None, leader: NodeEntry | None
     ) -> None:
-        """Report what is due.
+        """Report the limits that the leader has not announced, if due.
 
         Args:
           now: present time.
-          leading: the term of this node as the leader, None if it is not.
-          leader: the node that leads, None if it is not known.
+          leading: role of this node as the leader, None if it does not lead.
+          leader: entry of the leader, None if it is not known.
         """
-        untold = self._state.limits.list_untold()
-        if not untold or now - self._reported < REPORT_PAUSE_S:
+        unannounced = self._state.limits.list_untold()
+        if not unannounced or now - self._reported_at < MIN_REPORT_INTERVAL_S:
             return
-        self._reported = now
-        for server, rate in untold.items():
+        self._reported_at = now
+        for server, rate in unannounced.items():
             if leading is not None:
                 leading.note_limit(server, rate)
             elif leader is not None:
--- a/chervilrock/tasks/serving/suspicion.py
+++ b/chervilrock/tasks/serving/suspicion.py
@@ -1,9 +1,10 @@
-"""What a node does about requests that crash backend servers.
+"""Detection of requests that crash backend servers (poison requests).
 
-A send whose connection broke is looked into: only a server that takes no
-connections any more has ended. The leader judges by what all nodes saw and
-tells it with its announcements. Every node judges by what it knows itself as
-well, so that a request is withheld also while nobody leads.
+When the connection of a send breaks, the node checks the server: only a server
+that accepts no connections any more counts as crashed. The leader evaluates the
+crashes that all nodes report and sends the suspects with its announcements.
+Each node also evaluates the crashes that it knows of itself, so that a poison
+request is withheld even while there is no leader.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.events import emit, Event
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.endreports import EndReports
+from chervilrock.tasks.serving.endreports import CrashReports
 from chervilrock.tasks.serving.messages import (
     EndsAnswered,
     ServerChecked,
@@ -32,37 +33,39 @@
 from chervilrock.tasks.serving.outbound import Outbound
 from chervilrock.tasks.serving.state import ServingState
 
-OWN_SETTLE_S = 0.25
-"""Time for the verdict of a leader, before a node goes by what it knows
-itself."""
+FOLLOWER_SETTLE_S = 0.25
+"""Time for which a node waits for the leader's verdict before it decides by
+the crashes that it knows of itself."""
 
-VERDICT_S = 0.35
-"""Longest wait of a request for a verdict; while a leader is heard it takes
-less than a tenth of a second."""
+MAX_VERDICT_WAIT_S = 0.35
+"""Longest time that a request waits for a verdict. With a reachable leader a
+verdict takes less than 0.1 s."""
 
-VERDICT_STEP_S = 0.01
-"""Time between two looks for it."""
+VERDICT_POLL_INTERVAL_S = 0.01
+"""Time between two checks for a verdict."""
 
-JUDGE_S = 1.0
-"""Time between two judgements when nothing is new, for what has expired."""
+EVALUATION_INTERVAL_S = 1.0
+"""Time between two evaluations without new crashes, which expire old
+suspects."""
 
-CHECKED_S = 1.0
-"""Time for which it is remembered whether a server lives."""
+CHECK_RESULT_TTL_S = 1.0
+"""Time for which the result of checking a server is kept."""
 
 _MS_PER_S = 1000
 
-_SUSPECT = msgspec.json.Decoder(Suspect)
+_SUSPECT_DECODER = msgspec.json.Decoder(Suspect)
 
 
 class BrokenSend(NamedTuple):
     """A send whose connection broke.
 
     Attributes:
-      content: name of what the request asks for.
+      content: identifier of the content of the request.
       server: identifier of the server.
       address: IP:port of the server.
-      served_s: seconds since the first byte of the answer, 0 without one.
-      sent_s: seconds since it was sent.
+      since_first_byte_s: time since the first byte of the answer in seconds,
+        0 if there was none.
+      since_sent_s: time since the request was sent in seconds.
     """
 
     content: str
@@ -73,62 +76,68 @@
 
 
 class Suspicion:
-    """Ends of servers under requests, as one node sees and hears of them."""
+    """Finds poison requests by the server crashes that one node knows of."""
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
-        """Suspect nothing."""
+        """Create a detector without suspects.
+
+        Args:
+          state: state of the node.
+          outbound: calls to other nodes, servers and the store.
+        """
         self._state = state
         self._outbound = outbound
-        self._ledger = SuspectLedger()
-        self._reports = EndReports(state=state, outbound=outbound)
+        self._tracker = SuspectLedger()
+        self._reports = CrashReports(state=state, outbound=outbound)
         self._checks: dict[str, list[BrokenSend]] = {}
         self._checked: dict[str, tuple[bool, float]] = {}
         self._is_leading = False
-        self._judge_at = float("inf")
-        self._kept: set[str] = set()
+        self._evaluate_at = float("inf")
+        self._stored: set[str] = set()
         self._writing: set[str] = set()
 
     # Requests of this node.
 
     def is_empty(self) -> bool:
-        """Tell whether no request is suspected at all."""
-        return not len(self._ledger)
+        """Return whether there are no suspects."""
+        return not len(self._tracker)
 
     def count_ends(self, content: str) -> int:
-        """Return the servers that are known to have ended under a request."""
-        return self._ledger.count_ends(content)
+        """Return how many servers crashed while they ran a request."""
+        return self._tracker.count_ends(content)
 
     async def wait_for_verdict(
-        self, content: str, ends: int, until: float
+        self, content: str, min_crashes: int, until: float
     ) -> None:
-        """Wait whether a request is to be withheld, if it may be.
+        """Wait until a suspect request is withheld, for a limited time.
 
-        Without the wait, the node that sees the third server end would send
-        the request to a fourth one before the leader has judged.
+        Without the wait, the node that sees the third server crash would send
+        the request to a fourth one before the leader has evaluated the crash.
 
         Args:
-          content: name of what the request asks for.
-          ends: ended servers from which on to wait.
-          until: when to go on at the latest.
+          content: identifier of the content of the request.
+          min_crashes: server crashes below which there is no wait.
+          until: latest time to return.
         """
-        if self._ledger.count_ends(content) < ends:
+        if self._tracker.count_ends(content) < min_crashes:
             return
-        until = min(until, read_clock() + VERDICT_S)
+        until = min(until, read_clock() + MAX_VERDICT_WAIT_S)
         while read_clock() < until:
             if self._state.suspects.find_withheld(content) is not None:
                 return
-            await asyncio.sleep(VERDICT_STEP_S)
+            await asyncio.sleep(VERDICT_POLL_INTERVAL_S)
 
     def note_broken(self, broken: BrokenSend, now: float) -> None:
-        """Look into a send whose connection broke."""
+        """Check the server of a send whose connection broke."""
         for server, (_, checked) in list(self._checked.items()):
-            if now - checked > CHECKED_S:
+            if now - checked > CHECK_RESULT_TTL_S:
                 del self._checked[server]
         if broken.server in self._checked:
             is_alive, checked = self._checked[broken.server]
-            # A send to a server that is gone, behind a proxy, ended nothing.
+            # A proxy still accepts sends for a server that has crashed
+            # already; such a send did not cause the crash.
             if now - broken.sent_s < checked:
-                self._take_check((broken,), is_alive=is_alive, now=now)
+                self._apply_check((broken,), is_alive=is_alive, now=now)
         elif broken.server in self._checks:
             self._checks[broken.server].append(broken)
         else:
@@ -136,114 +145,129 @@
             self._outbound.check_server(broken.server, broken.address)
 
     def note_clean(self, content: str) -> None:
-        """Note that a request ran to the end of its answer."""
-        if self._ledger.clear(content):
+        """Record that a request ran to completion, which clears it."""
+        if self._tracker.clear(content):
             self._reports.note_clean(content)
-            self._judge_at = float("-inf")
+            self._evaluate_at = float("-inf")
 
     def note_checked(self, checked: ServerChecked, now: float) -> None:
-        """Take what the look at a server found."""
+        """Apply the result of checking a server."""
         self._checked[checked.server] = (checked.is_alive, now)
         sends = self._checks.pop(checked.server, [])
-        self._take_check(sends, is_alive=checked.is_alive, now=now)
+        self._apply_check(sends, is_alive=checked.is_alive, now=now)
 
-    def _take_check(
+    def _apply_check(
         self, sends: Iterable[BrokenSend], *, is_alive: bool, now: float
     ) -> None:
         if is_alive:
             return
-        for one in sends:
-            end = ServerEnd(
-                server=one.server,
+        for broken in sends:
+            crash = ServerEnd(
+                server=broken.server,
                 node=self._state.own.node,
-                served_s=round(one.served_s, 3),
-                sent_s=round(one.sent_s, 3),
+                served_s=round(broken.served_s, 3),
+                sent_s=round(broken.sent_s, 3),
             )
             emit(
                 Event.SERVER_ENDED,
-                server=one.server,
-                content=one.content,
-                served_ms=round(one.served_s * _MS_PER_S),
-                sent_ms=round(one.sent_s * _MS_PER_S),
+                server=broken.server,
+                content=broken.content,
+                served_ms=round(broken.served_s * _MS_PER_S),
+                sent_ms=round(broken.sent_s * _MS_PER_S),
             )
-            self._reports.note_end(one.content, end)
-            self._note_end(one.content, end, now)
+            self._reports.note_end(broken.content, crash)
+            self._record_crash(broken.content, crash, now)
 
-    def _note_end(self, content: str, end: ServerEnd, now: float) -> None:
-        settle_s = SETTLE_S if self._is_leading else OWN_SETTLE_S
-        if self._ledger.note_end(content, end, now, settle_s=settle_s):
-            self._judge_at = float("-inf")
+    def _record_crash(self, content: str, crash: ServerEnd, now: float) -> None:
+        settle_s = SETTLE_S if self._is_leading else FOLLOWER_SETTLE_S
+        if self._tracker.note_end(content, crash, now, settle_s=settle_s):
+            self._evaluate_at = float("-inf")
 
     # Other nodes.
 
     def note_report(self, report: EndReport, now: float) -> None:
-        """Take what another node saw."""
-        for content, end in report.ends:
-            self._note_end(content, end, now)
+        """Record the crashes and completions that another node reports."""
+        for content, crash in report.ends:
+            self._record_crash(content, crash, now)
         for content in report.cleared:
             self._clear(content)
         if not self._is_leading:
-            # Nobody adds up what the nodes saw, so each of them has to know.
-            self._reports.spread(content for content, _ in report.ends)
+            # No leader combines the crashes that different nodes saw, so each
+            # node has to get those that this one saw.
+            self._reports.broadcast(content for content, _ in report.ends)
 
     def note_told(
-        self, version: tuple[int, int], told: tuple[Suspect, ...], now: float
+        self,
+        version: tuple[int, int],
+        suspects: tuple[Suspect, ...],
+        now: float,
     ) -> None:
-        """Use the list of a leader."""
+        """Apply the suspects that a leader announces.
+
+        Args:
+          version: term and number of the list.
+          suspects: the list.
+          now: present time.
+        """
         table = self._state.suspects
-        listed = {one.content for one in told}
-        if version[0] == table.version[0] and len(told) < MAX_TOLD:
-            # The leader knew these and has let them go.
+        listed = {suspect.content for suspect in suspects}
+        if version[0] == table.version[0] and len(suspects) < MAX_TOLD:
+            # The leader had these in its list before and has cleared them.
             for suspect in table.told:
                 if suspect.content not in listed:
                     self._clear(suspect.content)
-        for suspect in told:
-            self._ledger.note_suspect(suspect, now)
+        for suspect in suspects:
+            self._tracker.note_suspect(suspect, now)
         table.version = version
-        table.told = told
-        self._judge_at = float("-inf")
+        table.told = suspects
+        self._evaluate_at = float("-inf")
 
     def _clear(self, content: str) -> None:
-        """Forget a request that another node saw run clean."""
-        self._ledger.clear(content)
+        """Forget a request that ran to completion on another node."""
+        self._tracker.clear(content)
         self._reports.drop(content)
-        self._judge_at = float("-inf")
+        self._evaluate_at = float("-inf")
 
     def note_answered(self, answered: EndsAnswered, now: float) -> None:
-        """Take what came of a report of this node."""
+        """Handle the answer to a report of this node."""
         self._reports.note_answered(answered, now)
 
     # The store.
 
     def forget_kept(self) -> None:
-        """Read anew what is kept in the store."""
-        self._kept.clear()
+        """Forget which requests have a record in the store, to read it anew."""
+        self._stored.clear()
 
     def note_kept(self, content: str, value: bytes, now: float) -> None:
-        """Take the record of a withheld request.
+        """Apply the stored record of a withheld request.
+
+        Args:
+          content: identifier of the content of the request.
+          value: the record, empty if it was deleted.
+          now: present time.
 
         Raises:
-          msgspec.DecodeError: the record cannot be read.
+          msgspec.DecodeError: the record cannot be decoded.
         """
         if not value:
-            self._kept.discard(content)
+            self._stored.discard(content)
             return
-        suspect = _SUSPECT.decode(value)
-        self._kept.add(content)
-        self._ledger.note_suspect(suspect, now)
-        self._judge_at = float("-inf")
+        suspect = _SUSPECT_DECODER.decode(value)
+        self._stored.add(content)
+        self._tracker.note_suspect(suspect, now)
+        self._evaluate_at = float("-inf")
 
     def note_written(self, written: SuspectWritten) -> None:
-        """Take what came of a record."""
+        """Handle the outcome of writing a record to the store."""
         self._writing.discard(written.content)
         if not written.is_written:
             return
         if written.is_withheld:
-            self._kept.add(written.content)
+            self._stored.add(written.content)
         else:
-            self._kept.discard(written.content)
+            self._stored.discard(written.content)
 
-    # Acting.
+    # Periodic work.
 
     def act(
         self,
@@ -253,72 +277,74 @@
         leader: NodeEntry | None,
         reaches_store: bool,
     ) -> bool:
-        """Tell, judge and keep what is due.
+        """Send reports, evaluate suspects and write to the store as due.
 
         Args:
           now: present time.
           term: term in which this node leads, None when it does not.
-          leader: the leader, None when it is not heard.
+          leader: the leader, None without contact to one.
           reaches_store: whether the store answers.
 
         Returns:
-          Whether requests are withheld, or let go, that were not before.
+          Whether the set of withheld requests changed.
         """
         self._is_leading = term is not None
         if term is None:
-            self._reports.tell(leader, now)
+            self._reports.send_due(leader, now)
         else:
-            self._reports.keep_to_itself()
-        is_changed = self._judge(now, term)
+            self._reports.discard_unsent()
+        is_changed = self._evaluate(now, term)
         if term is not None and reaches_store:
-            self._keep()
+            self._write_changes()
         return is_changed
 
-    def _judge(self, now: float, term: int | None) -> bool:
-        """Find anew what is withheld; tell whether that changed."""
+    def _evaluate(self, now: float, term: int | None) -> bool:
+        """Update which requests are withheld; return whether that changed."""
         table = self._state.suspects
         is_new_term = term is not None and table.version[0] != term
-        if now < self._judge_at and not is_new_term:
+        if now < self._evaluate_at and not is_new_term:
             return False
-        found = self._ledger.judge(now)
-        self._judge_at = self._find_next(now)
+        suspects = self._tracker.judge(now)
+        self._evaluate_at = self._find_next_evaluation(now)
         if term is None:
-            self._reports.spread(
-                one.content
-                for one in found
-                if one.is_withheld and not table.is_told_withheld(one.content)
+            self._reports.broadcast(
+                suspect.content
+                for suspect in suspects
+                if suspect.is_withheld
+                and not table.is_told_withheld(suspect.content)
             )
-        elif is_new_term or found != table.told:
+        elif is_new_term or suspects != table.told:
             number = 0 if is_new_term else table.version[1] + 1
             table.version = (term, number)
-            table.told = found
-        begun, ended = table.use(table.told, found)
-        for suspect in begun:
+            table.told = suspects
+        withheld, released = table.use(table.told, suspects)
+        for suspect in withheld:
             emit(
                 Event.CONTENT_WITHHELD,
                 content=suspect.content,
                 servers=suspect.servers,
                 nodes=suspect.nodes,
             )
-        for content in ended:
+        for content in released:
             emit(Event.CONTENT_RELEASED, content=content)
-        return bool(begun or ended)
+        return bool(withheld or released)
 
-    def _find_next(self, now: float) -> float:
-        """Return when to judge again if nothing new comes."""
-        if not len(self._ledger):
+    def _find_next_evaluation(self, now: float) -> float:
+        """Return when to evaluate again unless there is a new crash before."""
+        if not len(self._tracker):
             return float("inf")
-        settling = self._ledger.find_settling(now)
-        return now + JUDGE_S if settling is None else settling
+        next_due = self._tracker.find_settling(now)
+        return now + EVALUATION_INTERVAL_S if next_due is None else next_due
 
-    def _keep(self) -> None:
-        """Write to the store what is withheld, for the next leader."""
+    def _write_changes(self) -> None:
+        """Write changes of the withheld requests, for the next leader."""
         withheld = {
-            one.content: one for one in self._state.suspects.list_withheld()
+            suspect.content: suspect
+            for suspect in self._state.suspects.list_withheld()
         }
-        for content in withheld.keys() - self._kept - self._writing:
+        for content in withheld.keys() - self._stored - self._writing:
             self._writing.add(content)
             self._outbound.write_suspect(content, withheld[content])
-        for content in self._kept - withheld.keys() - self._writing:
+        for content in self._stored - withheld.keys() - self._writing:
             self._writing.add(content)
             self._outbound.write_suspect(content, None)
--- a/test/tasks/test_suspicion.py
+++ b/test/tasks/test_suspicion.py
@@ -14,7 +14,7 @@
 from chervilrock.tasks.serving.state import RepeatBounds, ServingState
 from chervilrock.tasks.serving.suspicion import (
     BrokenSend,
-    OWN_SETTLE_S,
+    FOLLOWER_SETTLE_S,
     Suspicion,
 )
 
@@ -174,7 +174,7 @@
     assert_that(calls.told, HasLength(2))
     end = ServerEnd("s3", "other", 0.0, 0.1)
     suspicion.note_report(EndReport(((CONTENT, end),)), NOW + 0.1)
-    later = NOW + 0.1 + 2 * OWN_SETTLE_S
+    later = NOW + 0.1 + 2 * FOLLOWER_SETTLE_S
     assert_that(act(later, leader=None), Is(True))
     assert_that(state.suspects.count_withheld(), Equals(1))
 
