--- a/test/tasks/crashing_requests.py
+++ b/test/tasks/crashing_requests.py
@@ -1,8 +1,8 @@
-"""Requests that end servers, played through the nodes of an installation.
+"""Simulation of requests that crash each server that runs them.
 
-Each attempt goes to one node, which sends it as an exchange does: it asks
-whether the request is withheld, waits for a verdict, sends, and sends once more
-when the server ended. Each server that begins to run it ends.
+Each attempt goes to one node of an installation, which sends the request as an
+exchange does: it waits for a verdict, checks whether the request is withheld,
+sends it, and retries once after the server has crashed.
 """
 
 import asyncio
@@ -13,62 +13,63 @@
 from chervilrock.tasks.serving.suspicion import BrokenSend
 from test.tasks.installation import Installation
 
-RUN_S = 0.15
-"""Time from a send to the end of the server."""
+CRASH_DELAY_S = 0.15
+"""Time from a send to the crash of the server."""
 
-ATTEMPT_SENDS = 2
-PATIENCE_S = 4.0
-"""Time that a caller waits for an answer."""
+MAX_SENDS_PER_ATTEMPT = 2
+CALLER_TIMEOUT_S = 4.0
+"""Longest time that a caller waits for an answer."""
 
 
-class Sent(NamedTuple):
-    """A send of a request that ends servers."""
+class CrashingSend(NamedTuple):
+    """A send of a request, which crashed the server."""
 
     node: str
-    began: float
-    ended: float
+    sent_at: float
+    crashed_at: float
 
 
 class CrashingRequest:
-    """One such request, which comes back as often as it is sent.
+    """A request that crashes servers, with all its attempts.
 
     Attributes:
-      content: what it asks for.
+      content: identifier of the content of the request.
       sends: all sends to servers.
-      turned_away: attempts that were withheld.
+      withheld_attempts: number of attempts that ended because the request was
+        withheld.
     """
 
     def __init__(self, *, site: Installation, content: str) -> None:
         self._site = site
         self.content = content
-        self.sends: list[Sent] = []
-        self.turned_away = 0
+        self.sends: list[CrashingSend] = []
+        self.withheld_attempts = 0
 
-    async def come(self, address: str) -> None:
-        """Let an attempt come to a node and follow it to its end."""
+    async def attempt(self, address: str) -> None:
+        """Make an attempt at a node and wait for its outcome."""
         member = self._site.members[address]
         suspicion = member.task.suspicion
         loop = self._site.loop
-        expires = loop.time() + PATIENCE_S
-        ends = MAX_ENDS
-        for _ in range(ATTEMPT_SENDS):
-            await suspicion.wait_for_verdict(self.content, ends, expires)
+        expires = loop.time() + CALLER_TIMEOUT_S
+        min_crashes = MAX_ENDS
+        for _ in range(MAX_SENDS_PER_ATTEMPT):
+            await suspicion.wait_for_verdict(self.content, min_crashes, expires)
             if address not in self._site.members:
                 return
             if member.state.suspects.find_withheld(self.content) is not None:
-                self.turned_away += 1
+                self.withheld_attempts += 1
                 return
             await self.send(address)
-            ends = LEAST_TOLD
+            min_crashes = LEAST_TOLD
 
     async def send(self, address: str) -> None:
-        """Let a node send it to one more server, which ends."""
+        """Let a node send the request to one more server, which crashes."""
         loop = self._site.loop
-        began = loop.time()
-        await asyncio.sleep(RUN_S)
+        sent_at = loop.time()
+        await asyncio.sleep(CRASH_DELAY_S)
         server = f"{self.content}-{len(self.sends)}"
         self._site.ended.add(server)
-        self.sends.append(Sent(address, began, loop.time()))
+        self.sends.append(CrashingSend(address, sent_at, loop.time()))
         member = self._site.members.get(address)
         if member is None:
             return
@@ -77,32 +78,34 @@
             server=server,
             address=server,
             served_s=0.0,
-            sent_s=RUN_S,
+            sent_s=CRASH_DELAY_S,
         )
         member.task.suspicion.note_broken(broken, loop.time())
 
-    async def come_everywhere(self) -> None:
-        """Let an attempt come to each node at once."""
-        members = list(self._site.members)
-        await asyncio.gather(*(self.come(one) for one in members))
+    async def attempt_everywhere(self) -> None:
+        """Make an attempt at each node at the same time."""
+        addresses = list(self._site.members)
+        await asyncio.gather(*(self.attempt(address) for address in addresses))
 
-    def count_needless(self) -> int:
-        """Return the sends that began after the third end."""
-        ends = sorted(one.ended for one in self.sends)
-        if len(ends) < MAX_ENDS:
+    def count_excess_sends(self) -> int:
+        """Return the sends that began after the third crash."""
+        crashed_at = sorted(send.crashed_at for send in self.sends)
+        if len(crashed_at) < MAX_ENDS:
             return 0
-        return sum(one.began > ends[MAX_ENDS - 1] for one in self.sends)
+        return sum(
+            send.sent_at > crashed_at[MAX_ENDS - 1] for send in self.sends
+        )
 
 
-async def come_often(
+async def attempt_repeatedly(
     site: Installation,
     request: CrashingRequest,
     generator: random.Random,
     *,
-    times: int,
-    pause_s: float,
+    attempts: int,
+    mean_pause_s: float,
 ) -> None:
-    """Let a request come to nodes that are drawn, one upon another."""
-    for _ in range(times):
-        await request.come(generator.choice(sorted(site.members)))
-        await asyncio.sleep(generator.uniform(0.0, 2 * pause_s))
+    """Make attempts at random nodes, one after the other."""
+    for _ in range(attempts):
+        await request.attempt(generator.choice(sorted(site.members)))
+        await asyncio.sleep(generator.uniform(0.0, 2 * mean_pause_s))
--- a/test/tasks/sweep_crashes.py
+++ b/test/tasks/sweep_crashes.py
@@ -1,8 +1,8 @@
-"""Servers that end under one request, over seeds, sizes and faults.
+"""Server crashes caused by one request, over seeds, sizes and faults.
 
 `python -m test.tasks.sweep_crashes --nodes 195 --seeds 20 --fault leader`
-prints the worst of all seeds: servers that ended, sends that began after the
-third end, and the time after it until the last node withheld the request.
+prints the worst of all seeds: servers that crashed, sends that began after the
+third crash, and the time from it until all nodes withheld the request.
 """
 
 import argparse
@@ -15,20 +15,20 @@
 import pytest
 
 from chervilrock.decisions.serving.suspects import MAX_ENDS
-from test.tasks.crashing_requests import come_often, CrashingRequest
+from test.tasks.crashing_requests import attempt_repeatedly, CrashingRequest
 from test.tasks.installation import Fault, Installation
 from test.tasks.virtual_time import run_virtually
 
 CONTENT = "brokers/0123456789abcdef"
-TIMES = 12
-PAUSE_S = 0.05
-PLACES = 3
-LONGEST_S = 6.0
-"""Time for which the news is waited for."""
+ATTEMPTS = 12
+MEAN_PAUSE_S = 0.05
+DATA_CENTRES = 3
+MAX_WAIT_S = 6.0
+"""Longest wait for each step of a run."""
 
 
-class Trouble(enum.Enum):
-    """What happens when the second server has ended."""
+class CrashFault(enum.Enum):
+    """The fault that begins after the second server has crashed."""
 
     NONE = "none"
     LEADER = "leader"
@@ -37,88 +37,103 @@
     RELAYS = "relays"
 
 
-class Figures(NamedTuple):
-    """What one run gave."""
+class Result(NamedTuple):
+    """Result of one run.
 
-    ends: int
-    needless: int
-    news_s: float
+    Attributes:
+      crashes: servers that crashed.
+      excess_sends: sends that began after the third crash.
+      delay_s: time from the third crash until all nodes withheld the
+        request.
+    """
 
+    crashes: int
+    excess_sends: int
+    delay_s: float
 
-async def _play(
-    site: Installation, nodes: int, trouble: Trouble, generator: random.Random
-) -> Figures:
-    await site.start(nodes=nodes, places=PLACES)
+
+async def _run_in_installation(
+    site: Installation, nodes: int, fault: CrashFault, generator: random.Random
+) -> Result:
+    await site.start(nodes=nodes, places=DATA_CENTRES)
     await asyncio.sleep(generator.uniform(3.0, 4.0))
     request = CrashingRequest(site=site, content=CONTENT)
-    coming = asyncio.ensure_future(
-        come_often(site, request, generator, times=TIMES, pause_s=PAUSE_S)
+    attempts_task = asyncio.ensure_future(
+        attempt_repeatedly(
+            site,
+            request,
+            generator,
+            attempts=ATTEMPTS,
+            mean_pause_s=MEAN_PAUSE_S,
+        )
     )
-    await site.wait(lambda: len(request.sends) >= MAX_ENDS - 1, LONGEST_S)
+    await site.wait(lambda: len(request.sends) >= MAX_ENDS - 1, MAX_WAIT_S)
     await asyncio.sleep(generator.uniform(0.0, 0.2))
-    _disturb(site, trouble)
-    await site.wait(lambda: len(request.sends) >= MAX_ENDS, LONGEST_S)
-    third = site.loop.time()
-    await site.wait(lambda: _is_known(site), LONGEST_S)
-    news_s = site.loop.time() - third
-    await coming
+    _inject_fault(site, fault)
+    await site.wait(lambda: len(request.sends) >= MAX_ENDS, MAX_WAIT_S)
+    third_crash_at = site.loop.time()
+    await site.wait(lambda: _is_withheld_everywhere(site), MAX_WAIT_S)
+    delay_s = site.loop.time() - third_crash_at
+    await attempts_task
     await site.stop()
-    return Figures(len(request.sends), request.count_needless(), news_s)
+    return Result(len(request.sends), request.count_excess_sends(), delay_s)
 
 
-def _disturb(site: Installation, trouble: Trouble) -> None:
+def _inject_fault(site: Installation, fault: CrashFault) -> None:
     leader = site.find_leader()
-    if trouble in (Trouble.STORE, Trouble.BOTH):
+    if fault in (CrashFault.STORE, CrashFault.BOTH):
         site.begin(Fault.SILENT)
-    if trouble in (Trouble.LEADER, Trouble.BOTH) and leader is not None:
+    if fault in (CrashFault.LEADER, CrashFault.BOTH) and leader is not None:
         site.kill(leader)
-    if trouble is Trouble.RELAYS:
+    if fault is CrashFault.RELAYS:
         for address, member in list(site.members.items()):
             if member.task.is_relay:
                 site.kill(address)
 
 
-def _is_known(site: Installation) -> bool:
+def _is_withheld_everywhere(site: Installation) -> bool:
     return all(
-        one.state.suspects.find_withheld(CONTENT) is not None
-        for one in site.members.values()
+        member.state.suspects.find_withheld(CONTENT) is not None
+        for member in site.members.values()
     )
 
 
-def play(seed: int, nodes: int, trouble: Trouble) -> Figures:
-    """Return what one seed gives."""
+def run_seed(seed: int, nodes: int, fault: CrashFault) -> Result:
+    """Return the result of one seed."""
     generator = random.Random(seed)
     with pytest.MonkeyPatch.context() as patch:
 
-        async def run() -> Figures:
+        async def run() -> Result:
             site = Installation(monkeypatch=patch, seed=seed)
-            return await _play(site, nodes, trouble, generator)
+            return await _run_in_installation(site, nodes, fault, generator)
 
         return run_virtually(run())
 
 
 def main() -> None:
-    """Print the worst of some seeds."""
+    """Print the worst results over some seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, default=9)
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--fault", choices=[one.value for one in Trouble])
+    parser.add_argument(
+        "--fault", choices=[fault.value for fault in CrashFault]
+    )
     arguments = parser.parse_args()
-    troubles = list(Trouble)
+    faults = list(CrashFault)
     if arguments.fault:
-        troubles = [Trouble(arguments.fault)]
-    for trouble in troubles:
-        began = time.monotonic()
+        faults = [CrashFault(arguments.fault)]
+    for fault in faults:
+        started_s = time.monotonic()
         runs = [
-            play(seed, arguments.nodes, trouble)
+            run_seed(seed, arguments.nodes, fault)
             for seed in range(arguments.seeds)
         ]
         print(
-            f"{arguments.nodes} nodes, {trouble.value}, {len(runs)} seeds: "
-            f"ends {max(one.ends for one in runs)}, "
-            f"after the third end {max(one.needless for one in runs)}, "
-            f"known everywhere after {max(one.news_s for one in runs):.2f} s "
-            f"({time.monotonic() - began:.0f} s)",
+            f"{arguments.nodes} nodes, {fault.value}, {len(runs)} seeds: "
+            f"ends {max(run.crashes for run in runs)}, "
+            f"after the third end {max(run.excess_sends for run in runs)}, "
+            f"known everywhere after {max(run.delay_s for run in runs):.2f} s "
+            f"({time.monotonic() - started_s:.0f} s)",
             flush=True,
         )
 
--- a/test/tasks/test_suspects_at_size.py
+++ b/test/tasks/test_suspects_at_size.py
@@ -1,8 +1,8 @@
-"""Requests that end servers, at the sizes and in the faults of installations.
+"""Poison requests at the sizes and with the faults of real installations.
 
-The time within which all nodes withhold such a request is bounded by
-arithmetic in docs/platform.md; a rule of the platform's users allows three
-seconds and three more sends.
+A poison request crashes each server that runs it. All nodes have to withhold it
+within a bounded time after the third crash: a rule of the platform's users
+allows 3 s and three more sends.
 """
 
 import asyncio
@@ -13,92 +13,103 @@
 from testtools.matchers import Equals, GreaterThan, HasLength
 
 from chervilrock.decisions.serving.suspects import MAX_ENDS
-from test.tasks.crashing_requests import come_often, CrashingRequest
+from test.tasks.crashing_requests import attempt_repeatedly, CrashingRequest
 from test.tasks.installation import Fault, Installation
 from test.tasks.virtual_time import run_virtually
 
 CONTENT = "brokers/0123456789abcdef"
-BOUND_S = 2.0
-"""Time within which all nodes know, also while a leader or a relay is lost."""
+MAX_PROPAGATION_S = 2.0
+"""Time within which all nodes withhold a request, even if a leader or a relay
+fails meanwhile."""
 
-TIMES = 12
-PAUSE_S = 0.05
-SIZES = (9, 77)
-PLACES = 3
+ATTEMPTS = 12
+MEAN_PAUSE_S = 0.05
+NODE_COUNTS = (9, 77)
+DATA_CENTRES = 3
 
 
 async def start(monkeypatch, nodes: int, seed: int = 1) -> Installation:
     site = Installation(monkeypatch=monkeypatch, seed=seed)
-    await site.start(nodes=nodes, places=PLACES)
+    await site.start(nodes=nodes, places=DATA_CENTRES)
     await asyncio.sleep(3.0)
     return site
 
 
-def list_place(site: Installation, place: int) -> list[str]:
+def list_nodes(site: Installation, data_centre: int) -> list[str]:
     return [
         address
         for address, member in site.members.items()
-        if member.state.own.data_centre == f"p{place}"
+        if member.state.own.data_centre == f"p{data_centre}"
     ]
 
 
-@pytest.mark.parametrize("nodes", SIZES)
+@pytest.mark.parametrize("nodes", NODE_COUNTS)
 @pytest.mark.parametrize("seed", range(5))
-def test_three_servers_end_and_no_fourth_one(monkeypatch, nodes, seed):
+def test_poison_request_crashes_three_servers_and_no_fourth_one(
+    monkeypatch, nodes, seed
+):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes, seed)
         request = CrashingRequest(site=site, content=CONTENT)
         generator = random.Random(seed)
-        await come_often(site, request, generator, times=TIMES, pause_s=PAUSE_S)
+        await attempt_repeatedly(
+            site,
+            request,
+            generator,
+            attempts=ATTEMPTS,
+            mean_pause_s=MEAN_PAUSE_S,
+        )
         await site.stop()
         return request
 
     request = run_virtually(play())
     assert_that(request.sends, HasLength(MAX_ENDS))
-    assert_that(request.turned_away, GreaterThan(TIMES - MAX_ENDS - 1))
+    assert_that(request.withheld_attempts, GreaterThan(ATTEMPTS - MAX_ENDS - 1))
 
 
-@pytest.mark.parametrize("nodes", SIZES)
-def test_ends_that_three_data_centres_see_add_up(monkeypatch, nodes):
+@pytest.mark.parametrize("nodes", NODE_COUNTS)
+def test_crashes_seen_in_three_data_centres_add_up(monkeypatch, nodes):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
-        seers = [list_place(site, place)[-1] for place in range(PLACES)]
-        await asyncio.gather(*(request.come(one) for one in seers))
-        running = len(request.sends)
+        observers = [
+            list_nodes(site, number)[-1] for number in range(DATA_CENTRES)
+        ]
+        await asyncio.gather(*(request.attempt(node) for node in observers))
+        former_sends = len(request.sends)
         await asyncio.sleep(0.5)
-        await request.come_everywhere()
+        await request.attempt_everywhere()
         await site.stop()
-        assert_that(len(request.sends), Equals(running))
+        assert_that(len(request.sends), Equals(former_sends))
         return request
 
     request = run_virtually(play())
-    assert_that(request.turned_away, GreaterThan(nodes - 1))
+    assert_that(request.withheld_attempts, GreaterThan(nodes - 1))
 
 
-@pytest.mark.parametrize("nodes", SIZES)
-@pytest.mark.parametrize("before", [0, 1, 2, 3])
-@pytest.mark.parametrize("is_store_silent", [False, True])
-def test_a_lost_leader_delays_the_news_by_less_than_the_bound(
-    monkeypatch, nodes, before, is_store_silent
+@pytest.mark.parametrize("nodes", NODE_COUNTS)
+@pytest.mark.parametrize("crashes_before_loss", [0, 1, 2, 3])
+@pytest.mark.parametrize("is_store_unresponsive", [False, True])
+def test_loss_of_the_leader_does_not_exceed_the_propagation_bound(
+    monkeypatch, nodes, crashes_before_loss, is_store_unresponsive
 ):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
         leader = site.find_leader() or ""
-        others = [one for one in site.members if one != leader]
+        followers = [node for node in site.members if node != leader]
         generator = random.Random(nodes)
-        if is_store_silent:
+        if is_store_unresponsive:
             site.begin(Fault.SILENT)
         for number in range(MAX_ENDS):
-            if number == before:
+            if number == crashes_before_loss:
                 site.kill(leader)
-            await request.send(generator.choice(others))
+            await request.send(generator.choice(followers))
             await asyncio.sleep(0.01)
-        if before == MAX_ENDS:
+        if crashes_before_loss == MAX_ENDS:
             site.kill(leader)
-        await asyncio.sleep(BOUND_S)
-        await request.come_everywhere()
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        await request.attempt_everywhere()
         await site.stop()
         return request
 
@@ -106,7 +117,7 @@
     assert_that(request.sends, HasLength(MAX_ENDS))
 
 
-def test_a_lost_relay_delays_the_news_by_less_than_the_bound(monkeypatch):
+def test_loss_of_relays_does_not_exceed_the_propagation_bound(monkeypatch):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, 77)
         request = CrashingRequest(site=site, content=CONTENT)
@@ -116,8 +127,8 @@
         generator = random.Random(1)
         for _ in range(MAX_ENDS):
             await request.send(generator.choice(sorted(site.members)))
-        await asyncio.sleep(BOUND_S)
-        await request.come_everywhere()
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        await request.attempt_everywhere()
         await site.stop()
         return request
 
@@ -125,22 +136,24 @@
     assert_that(request.sends, HasLength(MAX_ENDS))
 
 
-@pytest.mark.parametrize("nodes", SIZES)
-def test_parted_nodes_know_soon_after_they_are_back(monkeypatch, nodes):
+@pytest.mark.parametrize("nodes", NODE_COUNTS)
+def test_partitioned_nodes_withhold_a_request_soon_after_they_reconnect(
+    monkeypatch, nodes
+):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
         leader = site.find_leader()
-        parted = [one for one in list_place(site, 0) if one != leader][:2]
+        parted = [one for one in list_nodes(site, 0) if one != leader][:2]
         site.parted.update(parted)
         await asyncio.sleep(1.0)
-        whole = [one for one in site.members if one not in parted]
-        for one in whole[:MAX_ENDS]:
-            await request.send(one)
+        connected = [node for node in site.members if node not in parted]
+        for node in connected[:MAX_ENDS]:
+            await request.send(node)
         await asyncio.sleep(1.0)
         site.parted.clear()
-        await asyncio.sleep(BOUND_S)
-        await asyncio.gather(*(request.come(one) for one in parted))
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        await asyncio.gather(*(request.attempt(node) for node in parted))
         await site.stop()
         return request
 
@@ -148,17 +161,17 @@
     assert_that(request.sends, HasLength(MAX_ENDS))
 
 
-@pytest.mark.parametrize("nodes", SIZES)
-def test_a_node_that_has_just_started_knows(monkeypatch, nodes):
+@pytest.mark.parametrize("nodes", NODE_COUNTS)
+def test_a_node_that_has_just_started_withholds_a_request(monkeypatch, nodes):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
-        for one in list(site.members)[:MAX_ENDS]:
-            await request.send(one)
+        for node in list(site.members)[:MAX_ENDS]:
+            await request.send(node)
         site.add("late", "p0")
         late = site.members["late"].state
         await site.wait(lambda: late.view.sequence > 0, 5.0)
-        await request.come("late")
+        await request.attempt("late")
         await site.stop()
         return request
 
@@ -166,48 +179,47 @@
     assert_that(request.sends, HasLength(MAX_ENDS))
 
 
-@pytest.mark.parametrize("nodes", SIZES)
-def test_a_loss_of_all_nodes_forgets_nothing(monkeypatch, nodes):
+@pytest.mark.parametrize("nodes", NODE_COUNTS)
+def test_withheld_requests_survive_the_loss_of_all_nodes(monkeypatch, nodes):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
-        for one in list(site.members)[:MAX_ENDS]:
-            await request.send(one)
+        for node in list(site.members)[:MAX_ENDS]:
+            await request.send(node)
         await asyncio.sleep(0.5)
-        for one in list(site.members):
-            site.kill(one)
+        for node in list(site.members):
+            site.kill(node)
         for number in range(nodes):
-            site.add(f"n{number:02}", f"p{number % PLACES}")
-        states = [one.state for one in site.members.values()]
+            site.add(f"n{number:02}", f"p{number % DATA_CENTRES}")
+        states = [member.state for member in site.members.values()]
         await site.wait(
-            lambda: all(one.view.sequence > 0 for one in states), 10.0
+            lambda: all(state.view.sequence > 0 for state in states), 10.0
         )
-        await request.come_everywhere()
+        await request.attempt_everywhere()
         await site.stop()
         return request
 
     request = run_virtually(play())
     assert_that(request.sends, HasLength(MAX_ENDS))
-    assert_that(request.turned_away, Equals(nodes))
+    assert_that(request.withheld_attempts, Equals(nodes))
 
 
-def test_what_comes_to_many_nodes_at_once_ends_no_more_than_ran(monkeypatch):
+def test_simultaneous_attempts_crash_only_servers_that_ran_already(monkeypatch):
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, 9)
         request = CrashingRequest(site=site, content=CONTENT)
-        await request.come_everywhere()
-        await request.come_everywhere()
+        await request.attempt_everywhere()
+        await request.attempt_everywhere()
         await site.stop()
         return request
 
     request = run_virtually(play())
-    # All nodes send a second time in the moment in which the third server
-    # ends; nothing begins after it.
-    assert_that(request.count_needless(), Equals(0))
-    assert_that(request.turned_away, Equals(9))
+    # All nodes retry at the moment of the third crash; no send begins after it.
+    assert_that(request.count_excess_sends(), Equals(0))
+    assert_that(request.withheld_attempts, Equals(9))
 
 
-def test_several_such_requests_are_found_each(monkeypatch):
+def test_several_poison_requests_are_each_withheld(monkeypatch):
     async def play() -> list[CrashingRequest]:
         site = await start(monkeypatch, 9)
         requests = [
@@ -216,12 +228,12 @@
         ]
         await asyncio.gather(
             *(
-                come_often(
+                attempt_repeatedly(
                     site,
                     request,
                     random.Random(number),
-                    times=TIMES,
-                    pause_s=PAUSE_S,
+                    attempts=ATTEMPTS,
+                    mean_pause_s=MEAN_PAUSE_S,
                 )
                 for number, request in enumerate(requests)
             )
@@ -233,22 +245,22 @@
         assert_that(request.sends, HasLength(MAX_ENDS))
 
 
-def test_a_request_that_runs_clean_is_cleared_everywhere(monkeypatch):
+def test_a_request_that_runs_to_completion_is_cleared_on_all_nodes(monkeypatch):
     async def play() -> None:
         site = await start(monkeypatch, 9)
         request = CrashingRequest(site=site, content=CONTENT)
         nodes = list(site.members)
-        for one in nodes[:2]:
-            await request.send(one)
+        for node in nodes[:2]:
+            await request.send(node)
         await asyncio.sleep(0.5)
         members = site.members.values()
-        suspicions = [member.task.suspicion for member in members]
-        for suspicion in suspicions:
-            assert_that(suspicion.count_ends(CONTENT), Equals(2))
-        suspicions[-1].note_clean(CONTENT)
+        detectors = [member.task.suspicion for member in members]
+        for detector in detectors:
+            assert_that(detector.count_ends(CONTENT), Equals(2))
+        detectors[-1].note_clean(CONTENT)
         await asyncio.sleep(0.5)
-        for suspicion in suspicions:
-            assert_that(suspicion.count_ends(CONTENT), Equals(0))
+        for detector in detectors:
+            assert_that(detector.count_ends(CONTENT), Equals(0))
         await site.stop()
 
     run_virtually(play())
--- a/test/tasks/test_suspicion.py
+++ b/test/tasks/test_suspicion.py
@@ -1,4 +1,4 @@
-"""What one node makes of sends whose connections broke."""
+"""How one node handles sends whose connections broke."""
 
 from collections.abc import Callable
 import random
@@ -31,12 +31,12 @@
 OTHER = make_node("other")
 
 
-class Calls:
-    """Stands in for the calls of a node and notes them."""
+class RecordedCalls:
+    """Stands in for the calls of a node and records them."""
 
     def __init__(self) -> None:
         self.checked: list[str] = []
-        self.told: list[tuple[str, EndReport]] = []
+        self.reports: list[tuple[str, EndReport]] = []
         self.written: list[tuple[str, bool]] = []
 
     def check_server(self, server: str, address: str) -> None:
@@ -44,15 +44,15 @@
         self.checked.append(server)
 
     def tell_ends(self, entry: NodeEntry, report: EndReport) -> None:
-        self.told.append((entry.node, report))
+        self.reports.append((entry.node, report))
 
     def write_suspect(self, content: str, suspect: object) -> None:
         self.written.append((content, suspect is not None))
 
 
 @pytest.fixture
-def calls() -> Calls:
-    return Calls()
+def calls() -> RecordedCalls:
+    return RecordedCalls()
 
 
 @pytest.fixture
@@ -62,12 +62,12 @@
         bounds=RepeatBounds(ratio=0.2, slack=100, window_s=10.0),
         generator=random.Random(1),
     )
-    state.known_nodes = {one.node: one for one in (OWN, LEADER, OTHER)}
+    state.known_nodes = {entry.node: entry for entry in (OWN, LEADER, OTHER)}
     return state
 
 
 @pytest.fixture
-def suspicion(calls: Calls, state: ServingState) -> Suspicion:
+def suspicion(calls: RecordedCalls, state: ServingState) -> Suspicion:
     outbound: Any = calls
     return Suspicion(state=state, outbound=outbound)
 
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def act(suspicion: Suspicion) -> Act:
-    """Let the node act, as a follower of a leader that is heard."""
+    """Run the periodic work of a follower that has contact with its leader."""
 
     def run(now: float, **changes: Any) -> bool:
         options: dict[str, Any] = {
@@ -94,13 +94,13 @@
     suspicion.note_broken(BrokenSend(CONTENT, server, "x:1", 0.0, 0.1), now)
 
 
-def end_server(suspicion: Suspicion, server: str, now: float = NOW) -> None:
+def crash_server(suspicion: Suspicion, server: str, now: float = NOW) -> None:
     break_send(suspicion, server, now)
     suspicion.note_checked(ServerChecked(server, False), now)
 
 
-def test_a_server_that_lives_has_not_ended(
-    suspicion: Suspicion, calls: Calls, act: Act
+def test_a_broken_send_to_a_live_server_is_no_crash(
+    suspicion: Suspicion, calls: RecordedCalls, act: Act
 ) -> None:
     for _ in range(2):
         break_send(suspicion, "s1")
@@ -108,10 +108,10 @@
     suspicion.note_checked(ServerChecked("s1", True), NOW)
     act(NOW)
     assert_that(suspicion.count_ends(CONTENT), Equals(0))
-    assert_that(calls.told, HasLength(0))
+    assert_that(calls.reports, HasLength(0))
 
 
-def test_a_send_to_a_server_that_is_gone_ended_nothing(
+def test_a_send_to_a_server_that_had_crashed_before_does_not_count(
     suspicion: Suspicion,
 ) -> None:
     suspicion.note_broken(BrokenSend("a/b", "s1", "x:1", 0.0, 0.1), NOW)
@@ -122,72 +122,72 @@
     assert_that(suspicion.count_ends("a/c"), Equals(0))
 
 
-def test_the_leader_is_told_each_end_once(
-    suspicion: Suspicion, calls: Calls, act: Act
+def test_each_crash_is_reported_to_the_leader_once(
+    suspicion: Suspicion, calls: RecordedCalls, act: Act
 ) -> None:
-    end_server(suspicion, "s1")
+    crash_server(suspicion, "s1")
     act(NOW)
     act(NOW + 0.05)
-    ((node, report),) = calls.told
+    ((node, report),) = calls.reports
     assert_that(node, Equals("leader"))
     suspicion.note_answered(
         EndsAnswered(LEADER.incarnation, report, True), NOW + 0.1
     )
     act(NOW + 0.5)
-    assert_that(calls.told, HasLength(1))
+    assert_that(calls.reports, HasLength(1))
 
 
-def test_a_new_leader_is_told_all_ends_again(
-    suspicion: Suspicion, calls: Calls, act: Act
+def test_all_crashes_are_reported_to_a_new_leader(
+    suspicion: Suspicion, calls: RecordedCalls, act: Act
 ) -> None:
-    end_server(suspicion, "s1")
+    crash_server(suspicion, "s1")
     act(NOW)
     suspicion.note_answered(
-        EndsAnswered(LEADER.incarnation, calls.told[0][1], True), NOW
+        EndsAnswered(LEADER.incarnation, calls.reports[0][1], True), NOW
     )
     act(NOW + 1.0, leader=OTHER)
-    node, report = calls.told[-1]
+    node, report = calls.reports[-1]
     assert_that(node, Equals("other"))
     assert_that([content for content, _ in report.ends], Equals([CONTENT]))
 
 
-def test_all_nodes_are_told_when_the_leader_does_not_answer(
-    suspicion: Suspicion, calls: Calls, act: Act
+def test_crashes_are_reported_to_all_nodes_if_the_leader_does_not_answer(
+    suspicion: Suspicion, calls: RecordedCalls, act: Act
 ) -> None:
-    end_server(suspicion, "s1")
+    crash_server(suspicion, "s1")
     act(NOW)
     suspicion.note_answered(
-        EndsAnswered(LEADER.incarnation, calls.told[0][1], False), NOW
+        EndsAnswered(LEADER.incarnation, calls.reports[0][1], False), NOW
     )
-    told = [node for node, _ in calls.told[1:]]
-    assert_that(sorted(told), Equals(["leader", "other"]))
+    receivers = [node for node, _ in calls.reports[1:]]
+    assert_that(sorted(receivers), Equals(["leader", "other"]))
     act(NOW + 0.05)
-    assert_that(calls.told, HasLength(3))
+    assert_that(calls.reports, HasLength(3))
 
 
-def test_without_a_leader_nodes_find_it_by_themselves(
-    suspicion: Suspicion, calls: Calls, state: ServingState, act: Act
+def test_nodes_withhold_a_poison_request_without_a_leader(
+    suspicion: Suspicion, calls: RecordedCalls, state: ServingState, act: Act
 ) -> None:
-    end_server(suspicion, "s1")
-    end_server(suspicion, "s2")
+    crash_server(suspicion, "s1")
+    crash_server(suspicion, "s2")
     act(NOW, leader=None)
-    assert_that(calls.told, HasLength(2))
-    end = ServerEnd("s3", "other", 0.0, 0.1)
-    suspicion.note_report(EndReport(((CONTENT, end),)), NOW + 0.1)
+    assert_that(calls.reports, HasLength(2))
+    crash = ServerEnd("s3", "other", 0.0, 0.1)
+    suspicion.note_report(EndReport(((CONTENT, crash),)), NOW + 0.1)
     later = NOW + 0.1 + 2 * FOLLOWER_SETTLE_S
     assert_that(act(later, leader=None), Is(True))
     assert_that(state.suspects.count_withheld(), Equals(1))
 
 
-def test_a_leader_keeps_in_the_store_what_it_withholds(
-    suspicion: Suspicion, calls: Calls, act: Act
+def test_a_leader_writes_withheld_requests_to_the_store(
+    suspicion: Suspicion, calls: RecordedCalls, act: Act
 ) -> None:
     for server in ("s1", "s2", "s3"):
-        end_server(suspicion, server)
+        crash_server(suspicion, server)
     act(NOW, term=7)
     act(NOW + 1.0, term=7, reaches_store=False)
     assert_that(calls.written, HasLength(0))
     act(NOW + 1.0, term=7)
     act(NOW + 1.1, term=7)
     assert_that(calls.written, Equals([(CONTENT, True)]))
-    assert_that(calls.told, HasLength(0))
+    assert_that(calls.reports, HasLength(0))
