--- a/chervilrock/tasks/serving/suspicion.py
+++ b/chervilrock/tasks/serving/suspicion.py
@@ -337,7 +337,7 @@
         return now + EVALUATION_INTERVAL_S if next_due is None else next_due
 
     def _write_changes(self) -> None:
-        """Write changes of the withheld requests, for the next leader."""
+        """Write changes to the store, where the next leader reads them."""
         withheld = {
             suspect.content: suspect
             for suspect in self._state.suspects.list_withheld()
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -1,10 +1,11 @@
-"""Requests at several times of what the open groups can bear.
-
-The exchanges of the nodes run as they are, in virtual time; engines, callers
-and the news between nodes are modelled. Engines work in passes: the requests
-in a batch get an event each, new ones are read in between, the others wait by
-urgency. Callers come back once after a refusal, give a stream up that makes no
-event for two seconds, and some repeat at once and several times.
+"""Simulation of a load of several times the capacity of the open groups.
+
+The exchanges of the nodes run unchanged, in virtual time; engines, callers and
+the announcements between nodes are modelled. Engines work in passes: each
+request in a batch gets one event per pass, prompts of new requests are read
+between passes, and the other requests wait in the order of their urgency.
+Callers retry once after a rejection and abandon a stream that has no event for
+2 s; some callers retry immediately and several times.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.exchange import Context, Exchange
 from chervilrock.platform import headers as names
-from chervilrock.tasks.serving import room as room_module
+from chervilrock.tasks.serving import room as waitqueue_module
 from chervilrock.tasks.serving.room import WaitingRoom
 from chervilrock.tasks.serving.state import RepeatBounds, ServingState
 from test.tasks.virtual_time import run_virtually
@@ -53,263 +54,281 @@
 TERM = 1
 HOST = "host"
 
-LINK_S = 0.004
-"""Time between a caller and a node, both ways, with the handshake."""
+CALLER_ROUND_TRIP_S = 0.004
+"""Round trip between a caller and a node, with the handshake."""
 
-HOP_S = 0.002
-"""Time between a node and a server, with the handshake."""
+SERVER_LATENCY_S = 0.002
+"""Latency between a node and a server, with the handshake."""
 
-GAP_S = 2.0
-"""Time without an event after which callers give a stream up."""
+CALLER_STALL_TIMEOUT_S = 2.0
+"""Time without an event after which callers abandon a stream."""
 
 WARM_UP_S = 3.0
-"""Time at the calm rate before the load begins."""
+"""Time at the nominal rate before the load rises."""
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """A kind of request.
 
     Attributes:
-      name: its name.
-      model: model that it asks for.
-      per_s: requests a second on a calm day.
-      prompt: tokens of its prompt, in the mean.
-      events: events of its answer, in the mean.
-      target_s: time to the first event that counts as on time.
-      limit_s: longest time that its callers wait.
+      name: name of the kind, also of its route.
+      model: requested model.
+      rate_per_s: requests per second at nominal load.
+      prompt_tokens: mean number of tokens of the prompt.
+      events: mean number of events of the answer.
+      target_s: longest time to the first event of an answer in time.
+      timeout_s: longest time that callers wait.
     """
 
     name: str
     model: str
-    per_s: float
-    prompt: float
+    rate_per_s: float
+    prompt_tokens: float
     events: float
     target_s: float
-    limit_s: float
+    timeout_s: float
 
 
 class Fleet(NamedTuple):
-    """Nodes that take callers, and groups.
+    """Nodes, replica groups and kinds of requests of a replay.
 
     Attributes:
-      places: data centres.
-      nodes: nodes of each that callers are told of.
-      groups: groups of each model.
-      pause_s: time between two announcements.
-      lag: answers that the leader's sums are old.
-      engine: how the engines work.
-      queue: requests that wait in an engine before it refuses more.
-      first_s: time to a first event beside passes and prompts.
-      kinds: what comes.
+      data_centres: number of data centres.
+      nodes: nodes per data centre that callers use.
+      groups: number of groups by model.
+      announcement_interval_s: time between two announcements.
+      lag: age of the leader's load totals, in announcements.
+      engine: profile of the engines.
+      queue_limit: requests that wait in an engine before it rejects more.
+      first_event_overhead_s: time to a first event apart from the passes and
+        the reading of prompts.
+      kinds: kinds of requests.
     """
 
-    places: int
+    data_centres: int
     nodes: int
     groups: dict[str, int]
-    pause_s: float
+    announcement_interval_s: float
     lag: int
     engine: EngineProfile
-    queue: int
-    first_s: float
-    kinds: tuple[Kind, ...]
+    queue_limit: int
+    first_event_overhead_s: float
+    kinds: tuple[RequestKind, ...]
 
 
 class Load(NamedTuple):
-    """How the load rises.
+    """A rise of the load.
 
     Attributes:
-      x: factor on the rate of one kind.
+      factor: factor on the rate of one kind of request.
       kind: name of that kind.
-      for_s: how long.
-      after_s: time that is played behind it.
-      abuse: part of the callers who repeat at once.
-      repeats: how often they do.
+      duration_s: duration of the rise.
+      recovery_s: simulated time after the rise.
+      abuser_ratio: ratio of the callers who retry immediately.
+      abuser_retries: number of their retries.
     """
 
-    x: float
+    factor: float
     kind: str
-    for_s: float = 6.0
-    after_s: float = 6.0
-    abuse: float = 0.0
-    repeats: int = 3
+    duration_s: float = 6.0
+    recovery_s: float = 6.0
+    abuser_ratio: float = 0.0
+    abuser_retries: int = 3
+
 
+class RequestCounts(NamedTuple):
+    """Counts of the requests that callers began within a second.
 
-class Second(NamedTuple):
-    """What became of the requests that callers began within a second."""
+    Attributes:
+      requests: all requests.
+      in_time: requests with the first event within the target.
+      late: requests that were served after it.
+      rejected: requests whose last attempt was rejected.
+      failed: requests that were abandoned or failed otherwise.
+    """
 
-    asked: int = 0
+    requests: int = 0
     in_time: int = 0
     late: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
 
 
 class Outcome(NamedTuple):
-    """What a replay came to.
+    """Result of a replay.
 
     Attributes:
-      seconds: what became of the requests, by the second of their first
-        attempt.
+      seconds: counts of requests by the second of their first attempt.
       sends: sends to groups.
-      unrun: those of them that came back unrun.
+      not_executed: sends that an engine rejected without running them.
     """
 
-    seconds: tuple[Second, ...]
+    seconds: tuple[RequestCounts, ...]
     sends: int
-    unrun: int
+    not_executed: int
 
-    def sum_up(self, begin_s: float, end_s: float) -> Second:
-        """Return what became of the requests of some seconds."""
+    def sum_seconds(self, begin_s: float, end_s: float) -> RequestCounts:
+        """Return the counts of the requests that began in an interval."""
         chosen = self.seconds[int(begin_s) : int(end_s)]
-        return Second(*(sum(column) for column in zip(*chosen, strict=True)))
+        return RequestCounts(
+            *(sum(column) for column in zip(*chosen, strict=True))
+        )
 
 
 class Engine:
-    """A group: batches, passes and a queue."""
+    """The engine of a replica group: batches, passes and a queue."""
 
     def __init__(self, *, fleet: Fleet, shape: ModelShape) -> None:
         self._profile = fleet.engine
         self._fleet = fleet
-        self._pace = shape.pace
-        self._waiting: list[_Work] = []
-        self._running: list[_Work] = []
-        self._is_passing = False
+        self._time_factor = shape.pace
+        self._waiting: list[_EngineRequest] = []
+        self._running: list[_EngineRequest] = []
+        self._is_in_pass = False
         self.sends = 0
-        self.unrun = 0
+        self.not_executed = 0
 
-    def take(self, work: "_Work") -> None:
-        """Take a request, or refuse it when the queue is full."""
+    def accept(self, request: "_EngineRequest") -> None:
+        """Queue a request, or reject it if the queue is full."""
         self.sends += 1
-        if len(self._waiting) >= self._fleet.queue + self._free:
-            self.unrun += 1
-            work.refuse()
+        if len(self._waiting) >= self._fleet.queue_limit + self._free_slots:
+            self.not_executed += 1
+            request.reject()
             return
-        self._waiting.append(work)
-        self._waiting.sort(key=lambda one: (one.urgency, one.number))
-        if not self._is_passing:
-            self._begin()
+        self._waiting.append(request)
+        self._waiting.sort(key=lambda entry: (entry.urgency, entry.number))
+        if not self._is_in_pass:
+            self._begin_pass()
 
     @property
-    def _free(self) -> int:
+    def _free_slots(self) -> int:
         return self._profile.slots - len(self._running)
 
-    def _begin(self) -> None:
-        """Begin a pass, with those that get a place now."""
-        self._waiting = [one for one in self._waiting if not one.is_over]
-        self._running = [one for one in self._running if not one.is_over]
-        admitted = self._waiting[: self._free]
+    def _begin_pass(self) -> None:
+        """Begin a pass with the requests that get a slot now."""
+        self._waiting = [
+            entry for entry in self._waiting if not entry.is_finished
+        ]
+        self._running = [
+            entry for entry in self._running if not entry.is_finished
+        ]
+        admitted = self._waiting[: self._free_slots]
         self._waiting = self._waiting[len(admitted) :]
         self._running += admitted
         if not self._running:
-            self._is_passing = False
+            self._is_in_pass = False
             return
         profile = self._profile
         step_s = profile.step_s + profile.per_request_s * len(self._running)
-        prompts = sum(one.prompt for one in admitted)
+        prompt_tokens = sum(entry.prompt_tokens for entry in admitted)
         pass_s = profile.steps_per_pass * step_s
-        pass_s += prompts / profile.prompt_tokens_per_s
-        self._is_passing = True
+        pass_s += prompt_tokens / profile.prompt_tokens_per_s
+        self._is_in_pass = True
         loop = asyncio.get_running_loop()
-        loop.call_later(self._pace * pass_s, self._end)
+        loop.call_later(self._time_factor * pass_s, self._end_pass)
 
-    def _end(self) -> None:
-        for work in self._running:
-            work.make_event(self._pace * self._fleet.first_s)
-        self._begin()
+    def _end_pass(self) -> None:
+        for request in self._running:
+            request.produce_event(
+                self._time_factor * self._fleet.first_event_overhead_s
+            )
+        self._begin_pass()
 
 
-class _Work:
-    """A request at an engine."""
+class _EngineRequest:
+    """A request in an engine."""
 
     def __init__(
         self,
         *,
         number: int,
         urgency: int,
-        prompt: float,
+        prompt_tokens: float,
         events: int,
-        transfer: "FakeTransfer",
+        transfer: "SimulatedTransfer",
     ) -> None:
         self.number = number
         self.urgency = urgency
-        self.prompt = prompt
-        self.is_over = False
+        self.prompt_tokens = prompt_tokens
+        self.is_finished = False
         self._events = events
-        self._made = 0
+        self._produced = 0
         self._transfer = transfer
 
-    def refuse(self) -> None:
-        self.is_over = True
-        self._transfer.answer_unrun()
+    def reject(self) -> None:
+        self.is_finished = True
+        self._transfer.answer_not_executed()
 
-    def make_event(self, first_s: float) -> None:
-        """Make an event; only the first and the last one matter here."""
-        self._made += 1
-        delay_s = HOP_S / 2 + first_s
+    def produce_event(self, overhead_s: float) -> None:
+        """Produce an event; only the first and the last one are delivered."""
+        self._produced += 1
+        delay_s = SERVER_LATENCY_S / 2 + overhead_s
         loop = asyncio.get_running_loop()
-        if self._made == 1:
+        if self._produced == 1:
             loop.call_later(delay_s, self._transfer.begin_answer)
-        if self._made >= self._events:
-            self.is_over = True
+        if self._produced >= self._events:
+            self.is_finished = True
             loop.call_later(delay_s, self._transfer.end_answer)
 
 
-class FakeTransfer:
-    """Stands in for a transfer: the request goes to a modelled engine."""
+class SimulatedTransfer:
+    """Stands in for a transfer; passes the request to a modelled engine."""
 
-    play: "Play"
+    replay: "Replay"
 
     def __init__(
         self, *, request: BackendRequest, receiver: "Receiver"
     ) -> None:
         self._headers = dict(request.headers)
         self._receiver = receiver
-        self._ended: asyncio.Future[TransferEnd] = (
+        self._end: asyncio.Future[TransferEnd] = (
             asyncio.get_running_loop().create_future()
         )
-        self._work: _Work | None = None
+        self._engine_request: _EngineRequest | None = None
         self.sent = False
         self.head: Head | None = None
 
     async def run(self, client: object) -> TransferEnd:
         del client
-        await asyncio.sleep(HOP_S)
-        if self._ended.done():
-            return self._ended.result()
+        await asyncio.sleep(SERVER_LATENCY_S)
+        if self._end.done():
+            return self._end.result()
         self.sent = True
-        prompt, _, output = self._headers["X-Token-Count"].partition(",")
-        self._work = _Work(
-            number=self.play.count(),
+        prompt_tokens, _, output = self._headers["X-Token-Count"].partition(",")
+        self._engine_request = _EngineRequest(
+            number=self.replay.next_number(),
             urgency=int(self._headers.get("X-Request-Urgency", "5")),
-            prompt=float(prompt),
+            prompt_tokens=float(prompt_tokens),
             events=int(output),
             transfer=self,
         )
-        self.play.engines[self._headers[names.EXPECTED_SERVER]].take(self._work)
-        return await self._ended
+        self.replay.engines[self._headers[names.EXPECTED_SERVER]].accept(
+            self._engine_request
+        )
+        return await self._end
 
     def abandon(self) -> None:
-        if self._work is not None:
-            self._work.is_over = True
-        self._finish("abandoned")
+        if self._engine_request is not None:
+            self._engine_request.is_finished = True
+        self._complete("abandoned")
 
-    def answer_unrun(self) -> None:
-        self._take_head(503, ("X-Not-Executed", "1"))
-        self._finish("")
+    def answer_not_executed(self) -> None:
+        self._receive_head(503, ("X-Not-Executed", "1"))
+        self._complete("")
 
     def begin_answer(self) -> None:
-        if self._ended.done():
+        if self._end.done():
             return
-        self._take_head(200, ("Content-Type", "text/event-stream"))
+        self._receive_head(200, ("Content-Type", "text/event-stream"))
         self._receiver.take_data(b"id: 1\ndata: x\n\n")
 
     def end_answer(self) -> None:
-        if self._ended.done():
+        if self._end.done():
             return
         self._receiver.take_data(b"id: 2\ndata: x\n\n")
-        self._finish("")
+        self._complete("")
 
-    def _take_head(self, status: int, pair: tuple[str, str]) -> None:
+    def _receive_head(self, status: int, pair: tuple[str, str]) -> None:
         self.head = Head(
             status=status,
             headers=(
@@ -320,45 +339,45 @@
         )
         self._receiver.take_head(self.head)
 
-    def _finish(self, error: str) -> None:
-        if not self._ended.done():
-            self._ended.set_result(TransferEnd(self.sent, self.head, error))
+    def _complete(self, error: str) -> None:
+        if not self._end.done():
+            self._end.set_result(TransferEnd(self.sent, self.head, error))
 
 
 class _Connection:
-    """What the caller of one attempt sees."""
+    """The connection of one attempt, as its caller sees it."""
 
     def __init__(self) -> None:
         self.has_begun = False
-        self.first: float | None = None
-        self.refused_for_s: float | None = None
-        self.is_whole = False
-        self.over = asyncio.Event()
+        self.first_event_at: float | None = None
+        self.retry_after_s: float | None = None
+        self.is_complete = False
+        self.closed = asyncio.Event()
 
     def begin(self, status: int, headers: Any, body: bytes) -> None:
         del status, headers, body
         self.has_begun = True
-        self.first = asyncio.get_running_loop().time()
+        self.first_event_at = asyncio.get_running_loop().time()
 
     def write(self, data: bytes) -> None:
         del data
 
     def finish(self) -> None:
-        self.is_whole = True
-        self.over.set()
+        self.is_complete = True
+        self.closed.set()
 
     def answer(self, status: int, headers: Any, body: bytes) -> None:
         del body
         if status == 503:
             pairs = dict(headers)
-            self.refused_for_s = float(pairs.get("Retry-After", "0"))
-        self.over.set()
+            self.retry_after_s = float(pairs.get("Retry-After", "0"))
+        self.closed.set()
 
     def abort(self) -> None:
-        self.over.set()
+        self.closed.set()
 
     def close(self) -> None:
-        self.over.set()
+        self.closed.set()
 
 
 class _Pool:
@@ -367,20 +386,20 @@
         yield None
 
 
-class _Ignored:
-    """Stands in for metrics."""
+class _NoMetrics:
+    """Stands in for metrics and ignores all values."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_: None
 
 
-class _NoSuspicion:
+class _NoSuspects:
     def is_empty(self) -> bool:
         return True
 
 
-class Play:
-    """One replay."""
+class Replay:
+    """A replay of a load on a fleet."""
 
     def __init__(self, *, fleet: Fleet, load: Load, seed: int) -> None:
         self._fleet = fleet
@@ -396,93 +415,107 @@
         view = ServingView(TERM, 1, groups, ())
         routes = _make_routes(fleet)
         self._nodes = [
-            self._make_node(place, number, view, routes)
-            for place in range(fleet.places)
+            self._make_node(data_centre, number, view, routes)
+            for data_centre in range(fleet.data_centres)
             for number in range(fleet.nodes)
         ]
-        self._told = [ToldLoads() for _ in self._nodes]
-        self._sums: list[dict[str, int]] = [{}] * fleet.lag
-        whole_s = WARM_UP_S + load.for_s + load.after_s
-        self._seconds = [[0] * len(Second._fields) for _ in range(int(whole_s))]
+        self._reported_loads = [ToldLoads() for _ in self._nodes]
+        self._load_totals: list[dict[str, int]] = [{}] * fleet.lag
+        total_s = WARM_UP_S + load.duration_s + load.recovery_s
+        self._seconds = [
+            [0] * len(RequestCounts._fields) for _ in range(int(total_s))
+        ]
 
-    def count(self) -> int:
+    def next_number(self) -> int:
         self._number += 1
         return self._number
 
     async def run(self) -> Outcome:
         loop = asyncio.get_running_loop()
-        self._began = loop.time()
+        self._started_at = loop.time()
         callers: set[asyncio.Task[None]] = set()
-        news = loop.create_task(self._tell())
+        announcements = loop.create_task(self._announce_loads())
         for kind in self._fleet.kinds:
-            callers.add(loop.create_task(self._send(kind)))
+            callers.add(loop.create_task(self._start_callers(kind)))
         await asyncio.gather(*callers)
-        news.cancel()
+        announcements.cancel()
         return Outcome(
-            tuple(Second(*one) for one in self._seconds),
-            sum(one.sends for one in self.engines.values()),
-            sum(one.unrun for one in self.engines.values()),
+            tuple(RequestCounts(*one) for one in self._seconds),
+            sum(engine.sends for engine in self.engines.values()),
+            sum(engine.not_executed for engine in self.engines.values()),
         )
 
-    async def _send(self, kind: Kind) -> None:
-        """Let callers come, and wait until all have gone."""
+    async def _start_callers(self, kind: RequestKind) -> None:
+        """Start callers at the rate of a kind, and wait for all of them."""
         loop = asyncio.get_running_loop()
         callers = []
         load = self._load
         while True:
-            elapsed = loop.time() - self._began
+            elapsed = loop.time() - self._started_at
             if elapsed >= len(self._seconds):
                 break
-            is_high = WARM_UP_S <= elapsed < WARM_UP_S + load.for_s
-            x = load.x if is_high and kind.name == load.kind else 1.0
-            callers.append(loop.create_task(self._ask(kind, int(elapsed))))
-            await asyncio.sleep(self._generator.expovariate(kind.per_s * x))
+            is_raised = WARM_UP_S <= elapsed < WARM_UP_S + load.duration_s
+            factor = (
+                load.factor if is_raised and kind.name == load.kind else 1.0
+            )
+            callers.append(
+                loop.create_task(self._run_caller(kind, int(elapsed)))
+            )
+            await asyncio.sleep(
+                self._generator.expovariate(kind.rate_per_s * factor)
+            )
         await asyncio.gather(*callers)
 
-    async def _ask(self, kind: Kind, second: int) -> None:
-        """Be one caller: ask, and ask again."""
+    async def _run_caller(self, kind: RequestKind, second: int) -> None:
+        """Run one caller: a request and its retries."""
         loop = asyncio.get_running_loop()
         generator = self._generator
-        began = loop.time()
-        until = began + kind.limit_s * generator.uniform(0.85, 1.0)
-        is_abuser = generator.random() < self._load.abuse
-        tries = 1 + (self._load.repeats if is_abuser else 1)
-        prompt = kind.prompt * generator.lognormvariate(-0.3, 0.77)
+        started_at = loop.time()
+        until = started_at + kind.timeout_s * generator.uniform(0.85, 1.0)
+        is_abuser = generator.random() < self._load.abuser_ratio
+        attempts = 1 + (self._load.abuser_retries if is_abuser else 1)
+        prompt_tokens = kind.prompt_tokens * generator.lognormvariate(
+            -0.3, 0.77
+        )
         events = 1 + round(kind.events * generator.lognormvariate(-0.2, 0.65))
-        facts = f"{round(prompt)},{events}"
-        row = self._seconds[second]
-        row[0] += 1
+        token_counts = f"{round(prompt_tokens)},{events}"
+        counts = self._seconds[second]
+        counts[0] += 1
         connection = None
-        while tries and loop.time() < until:
-            tries -= 1
-            connection = await self._try(kind, facts, until)
-            if connection.is_whole or connection.refused_for_s is None:
+        while attempts and loop.time() < until:
+            attempts -= 1
+            connection = await self._attempt(kind, token_counts, until)
+            if connection.is_complete or connection.retry_after_s is None:
                 break
-            left = until - loop.time()
+            remaining_s = until - loop.time()
             if not is_abuser:
-                pause_s = min(connection.refused_for_s, left / 3)
+                pause_s = min(connection.retry_after_s, remaining_s / 3)
                 await asyncio.sleep(max(0.0, pause_s))
         assert connection is not None
-        if connection.is_whole and connection.first is not None:
-            first_s = connection.first + LINK_S / 2 - began
-            row[1 if first_s <= kind.target_s else 2] += 1
-        elif connection.refused_for_s is not None:
-            row[3] += 1
+        if connection.is_complete and connection.first_event_at is not None:
+            first_s = (
+                connection.first_event_at + CALLER_ROUND_TRIP_S / 2 - started_at
+            )
+            counts[1 if first_s <= kind.target_s else 2] += 1
+        elif connection.retry_after_s is not None:
+            counts[3] += 1
         else:
-            row[4] += 1
+            counts[4] += 1
 
-    async def _try(self, kind: Kind, facts: str, until: float) -> _Connection:
-        """Send one attempt to a node and wait for its end."""
-        await asyncio.sleep(LINK_S)
+    async def _attempt(
+        self, kind: RequestKind, token_counts: str, until: float
+    ) -> _Connection:
+        """Send one attempt to a node and wait for its outcome."""
+        await asyncio.sleep(CALLER_ROUND_TRIP_S)
         loop = asyncio.get_running_loop()
         now = loop.time()
         node = self._generator.choice(self._nodes)
-        left_ms = max(1, round(1000 * (until - now)))
+        deadline_ms = max(1, round(1000 * (until - now)))
         pairs = (
-            ("X-Request-Id", f"r{self.count()}"),
+            ("X-Request-Id", f"r{self.next_number()}"),
             ("X-Model", kind.model),
-            ("X-Token-Count", facts),
-            ("X-Deadline-Ms", str(left_ms)),
+            ("X-Token-Count", token_counts),
+            ("X-Deadline-Ms", str(deadline_ms)),
         )
         connection = _Connection()
         exchange = Exchange(
@@ -499,47 +532,53 @@
             connection=connection,  # type: ignore[arg-type]
         )
         running = loop.create_task(exchange.run())
-        patience_s = min(GAP_S, until - now)
+        timeout_s = min(CALLER_STALL_TIMEOUT_S, until - now)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(patience_s):
-                await connection.over.wait()
-        if not connection.over.is_set() and connection.has_begun:
-            await connection.over.wait()
-        elif not connection.over.is_set():
+            async with asyncio.timeout(timeout_s):
+                await connection.closed.wait()
+        if not connection.closed.is_set() and connection.has_begun:
+            await connection.closed.wait()
+        elif not connection.closed.is_set():
             exchange.leave()
         await running
-        await asyncio.sleep(LINK_S / 2)
+        await asyncio.sleep(CALLER_ROUND_TRIP_S / 2)
         return connection
 
-    async def _tell(self) -> None:
-        """Let the leader add up, and tell all nodes."""
+    async def _announce_loads(self) -> None:
+        """Total the loads of all nodes and announce the totals to them."""
         lag = self._fleet.lag
         while True:
-            await asyncio.sleep(self._fleet.pause_s)
+            await asyncio.sleep(self._fleet.announcement_interval_s)
             total: dict[str, int] = {}
-            for context, told in zip(self._nodes, self._told, strict=True):
+            for context, reported in zip(
+                self._nodes, self._reported_loads, strict=True
+            ):
                 state = context.state
                 now = asyncio.get_running_loop().time()
                 state.refill_budgets(is_in_touch=True, now=now)
                 state.take_loads(
-                    self._sums[0],
-                    told.find_counted(TERM, lag),
+                    self._load_totals[0],
+                    reported.find_counted(TERM, lag),
                     senders=len(self._nodes),
                     now=now,
                 )
-                told.note(TERM, state.own_loads)
+                reported.note(TERM, state.own_loads)
                 for server, count in state.own_loads.items():
                     total[server] = total.get(server, 0) + count
-            self._sums = [*self._sums[1:], total]
+            self._load_totals = [*self._load_totals[1:], total]
             for context in self._nodes:
                 context.room.notify()
 
     def _make_node(
-        self, place: int, number: int, view: ServingView, routes: RouteTable
+        self,
+        data_centre: int,
+        number: int,
+        view: ServingView,
+        routes: RouteTable,
     ) -> Context:
-        name = f"n{place}-{number}"
+        name = f"n{data_centre}-{number}"
         state = ServingState(
-            own=NodeEntry(name, name, name, name, f"p{place}"),
+            own=NodeEntry(name, name, name, name, f"p{data_centre}"),
             bounds=RepeatBounds(ratio=0.2, slack=320, window_s=10.0),
             generator=random.Random(self._generator.random()),
         )
@@ -550,15 +589,22 @@
             state=state,
             room=WaitingRoom(),
             pool=_Pool(),  # type: ignore[arg-type]
-            metrics=_Ignored(),  # type: ignore[arg-type]
-            suspicion=_NoSuspicion(),  # type: ignore[arg-type]
+            metrics=_NoMetrics(),  # type: ignore[arg-type]
+            suspicion=_NoSuspects(),  # type: ignore[arg-type]
         )
 
 
 def replay(
     monkeypatch: pytest.MonkeyPatch, fleet: Fleet, load: Load, *, seed: int
 ) -> Outcome:
-    """Play a load in virtual time."""
+    """Replay a load in virtual time.
+
+    Args:
+      monkeypatch: replaces the clock, the transfers and the event log.
+      fleet: nodes, groups and kinds of requests.
+      load: rise of the load.
+      seed: seed of the random numbers.
+    """
 
     def read_virtual_clock() -> float:
         return asyncio.get_running_loop().time()
@@ -567,18 +613,18 @@
         exchange_module,
         places_module,
         receiver_module,
-        room_module,
+        waitqueue_module,
     ):
         monkeypatch.setattr(module, "read_clock", read_virtual_clock)
     monkeypatch.setattr(exchangelog, "emit", lambda *_, **__: None)
-    monkeypatch.setattr(exchange_module, "Transfer", FakeTransfer)
+    monkeypatch.setattr(exchange_module, "Transfer", SimulatedTransfer)
 
-    async def play() -> Outcome:
-        one = Play(fleet=fleet, load=load, seed=seed)
-        FakeTransfer.play = one
-        return await one.run()
+    async def run() -> Outcome:
+        running = Replay(fleet=fleet, load=load, seed=seed)
+        SimulatedTransfer.replay = running
+        return await running.run()
 
-    return run_virtually(play())
+    return run_virtually(run())
 
 
 def _make_groups(fleet: Fleet) -> tuple[GroupEndpoint, ...]:
@@ -595,7 +641,7 @@
             service=SERVICE,
             server=f"s{model}{number}",
             address=f"10.9.0.{number}:1",
-            data_centre=f"p{number % fleet.places}",
+            data_centre=f"p{number % fleet.data_centres}",
         )
         for model, number in numbers
     )
@@ -609,7 +655,7 @@
             prefix=f"/{kind.name}/",
             kind=RouteKind.STREAM,
             services=(WeightedService(SERVICE, 1.0),),
-            timeout_s=kind.limit_s,
+            timeout_s=kind.timeout_s,
             target_s=kind.target_s,
             longest_pause_s=0.2,
             priority=1,
@@ -638,7 +684,7 @@
     prompt_tokens_per_s: float,
     models: tuple[ModelShape, ...],
 ) -> EngineProfile:
-    """Return how the engines of a replay work."""
+    """Return the profile of the engines of a replay."""
     return EngineProfile(
         slots=slots,
         step_s=step_s,
@@ -656,10 +702,10 @@
 
 
 WIDE = Fleet(
-    places=3,
+    data_centres=3,
     nodes=5,
     groups={"large": 6, "small": 12},
-    pause_s=0.125,
+    announcement_interval_s=0.125,
     lag=2,
     engine=make_engine(
         slots=24,
@@ -671,21 +717,21 @@
             ModelShape("small", 6, 0.6, 0.5, 12.0, 1.1),
         ),
     ),
-    queue=48,
-    first_s=0.093,
+    queue_limit=48,
+    first_event_overhead_s=0.093,
     kinds=(
-        Kind("draft", "large", 14.7, 1460.0, 29.7, 0.404, 8.0),
-        Kind("note", "small", 158.0, 714.0, 29.7, 0.303, 6.0),
-        Kind("brief", "large", 9.15, 2000.0, 4.5, 0.405, 6.0),
+        RequestKind("draft", "large", 14.7, 1460.0, 29.7, 0.404, 8.0),
+        RequestKind("note", "small", 158.0, 714.0, 29.7, 0.303, 6.0),
+        RequestKind("brief", "large", 9.15, 2000.0, 4.5, 0.405, 6.0),
     ),
 )
-"""Large batches that hardly slow down, and small groups of another model."""
+"""Large batches with little slowdown, and small groups of another model."""
 
 NARROW = Fleet(
-    places=3,
+    data_centres=3,
     nodes=2,
     groups={"large": 4, "small": 8},
-    pause_s=0.125,
+    announcement_interval_s=0.125,
     lag=1,
     engine=make_engine(
         slots=13,
@@ -697,12 +743,12 @@
             ModelShape("small", 2, 0.6, 0.5, 12.0, 1.1),
         ),
     ),
-    queue=26,
-    first_s=0.08,
+    queue_limit=26,
+    first_event_overhead_s=0.08,
     kinds=(
-        Kind("draft", "large", 14.6, 1460.0, 27.0, 0.5, 8.0),
-        Kind("note", "small", 42.5, 714.0, 27.0, 0.3, 6.0),
-        Kind("brief", "large", 10.6, 2000.0, 5.0, 0.5, 6.0),
+        RequestKind("draft", "large", 14.6, 1460.0, 27.0, 0.5, 8.0),
+        RequestKind("note", "small", 42.5, 714.0, 27.0, 0.3, 6.0),
+        RequestKind("brief", "large", 10.6, 2000.0, 5.0, 0.5, 6.0),
     ),
 )
-"""Few nodes and few groups, whose batches slow down with each request."""
+"""Few nodes and few groups, whose passes take longer with each request."""
--- a/test/tasks/test_overload.py
+++ b/test/tasks/test_overload.py
@@ -1,11 +1,11 @@
-"""Requests served in time when more come than the groups can bear.
+"""Throughput in time under a load above the capacity of the groups.
 
-When the short kind of request came at 2.2 times its rate, 97 to 151 requests in
-two seconds were served in time where 363 had been, and 400 to 630 late: the
-groups worked as hard as they could, for requests that were late already. Nodes
-knew of free slots from the same news and filled them all, so that requests
-waited in the engines; those that were refused came back late and took the
-places of new ones.
+Guards against a collapse under overload. At 2.2 times the rate of the short
+kind of request, 97 to 151 requests in two seconds were served in time, instead
+of 363, and 400 to 630 late: the groups were busy with requests that were late
+already. All nodes filled the free slots of the same announcement, so that
+requests waited in the engines; rejected requests were retried late and took the
+slots of new ones.
 """
 
 import pytest
@@ -13,63 +13,69 @@
 from testtools.matchers import GreaterThan, LessThan
 
 from chervilrock.decisions.serving import shares
-from test.tasks.overload import Fleet, Load, NARROW, replay, Second, WIDE
+from test.tasks.overload import Fleet, Load, NARROW, replay, RequestCounts, WIDE
 
-AIM = 0.8
-"""Part of the requests served in time on a calm day that are served in time at
-any load."""
+MIN_RATIO = 0.8
+"""Smallest throughput in time at any load, as a ratio of the throughput in time
+at nominal load."""
 
-CALM_BEGIN_S, CALM_END_S = 1, 3
-HIGH_BEGIN_S, HIGH_END_S = 5, 9
-AFTER_BEGIN_S, AFTER_END_S = 10, 13
-"""The load lasts from 3 s to 9 s."""
+NOMINAL_BEGIN_S, NOMINAL_END_S = 1, 3
+RAISED_BEGIN_S, RAISED_END_S = 5, 9
+RECOVERY_BEGIN_S, RECOVERY_END_S = 10, 13
+"""The load is raised from 3 s to 9 s."""
 
 
-def rate(seconds: Second, begin_s: int, end_s: int) -> float:
-    return seconds.in_time / (end_s - begin_s)
+def compute_rate(counts: RequestCounts, begin_s: int, end_s: int) -> float:
+    return counts.in_time / (end_s - begin_s)
 
 
-def play(monkeypatch, fleet: Fleet, load: Load, seed: int = 1):
-    """Return requests served in time a second, calm, under load and after."""
+def measure_rates(monkeypatch, fleet: Fleet, load: Load, seed: int = 1):
+    """Return the rates in time at nominal load, under load and after it."""
     outcome = replay(monkeypatch, fleet, load, seed=seed)
     return [
-        rate(outcome.sum_up(begin, end), begin, end)
+        compute_rate(outcome.sum_seconds(begin, end), begin, end)
         for begin, end in (
-            (CALM_BEGIN_S, CALM_END_S),
-            (HIGH_BEGIN_S, HIGH_END_S),
-            (AFTER_BEGIN_S, AFTER_END_S),
+            (NOMINAL_BEGIN_S, NOMINAL_END_S),
+            (RAISED_BEGIN_S, RAISED_END_S),
+            (RECOVERY_BEGIN_S, RECOVERY_END_S),
         )
     ]
 
 
-@pytest.mark.parametrize("abuse", [0.0, 0.4])
-@pytest.mark.parametrize("x", [1.5, 2.2, 3.0])
-def test_as_many_are_served_in_time_as_on_a_calm_day(
-    monkeypatch, x: float, abuse: float
+@pytest.mark.parametrize("abuser_ratio", [0.0, 0.4])
+@pytest.mark.parametrize("factor", [1.5, 2.2, 3.0])
+def test_throughput_in_time_holds_under_overload(
+    monkeypatch, factor: float, abuser_ratio: float
 ) -> None:
-    calm, high, after = play(monkeypatch, WIDE, Load(x, "note", abuse=abuse))
-    assert_that(high, GreaterThan(AIM * calm))
-    assert_that(after, GreaterThan(AIM * calm))
+    nominal, raised, recovered = measure_rates(
+        monkeypatch, WIDE, Load(factor, "note", abuser_ratio=abuser_ratio)
+    )
+    assert_that(raised, GreaterThan(MIN_RATIO * nominal))
+    assert_that(recovered, GreaterThan(MIN_RATIO * nominal))
 
 
-@pytest.mark.parametrize("x", [1.0, 2.5])
-def test_few_groups_of_few_slots_bear_a_load_as_well(
-    monkeypatch, x: float
+@pytest.mark.parametrize("factor", [1.0, 2.5])
+def test_throughput_in_time_holds_with_few_groups_of_few_slots(
+    monkeypatch, factor: float
 ) -> None:
-    calm, high, _ = play(monkeypatch, NARROW, Load(x, "note"))
-    assert_that(high, GreaterThan(AIM * calm))
+    nominal, raised, _ = measure_rates(
+        monkeypatch, NARROW, Load(factor, "note")
+    )
+    assert_that(raised, GreaterThan(MIN_RATIO * nominal))
 
 
-def test_nodes_without_shares_send_more_than_the_engines_run(
+def test_without_slot_shares_nodes_overload_the_engines(
     monkeypatch,
 ) -> None:
-    load = Load(2.2, "note", abuse=0.4)
+    load = Load(2.2, "note", abuser_ratio=0.4)
     shared = replay(monkeypatch, WIDE, load, seed=1)
     monkeypatch.setattr(
         shares.SlotShares, "find_limit", lambda *_: shares.NO_LIMIT
     )
-    former = replay(monkeypatch, WIDE, load, seed=1)
-    assert_that(former.unrun, GreaterThan(10 * (shared.unrun + 1)))
-    high = former.sum_up(HIGH_BEGIN_S, HIGH_END_S)
-    kept = shared.sum_up(HIGH_BEGIN_S, HIGH_END_S)
-    assert_that(high.in_time, LessThan(0.8 * kept.in_time))
+    unshared = replay(monkeypatch, WIDE, load, seed=1)
+    assert_that(
+        unshared.not_executed, GreaterThan(10 * (shared.not_executed + 1))
+    )
+    unshared_counts = unshared.sum_seconds(RAISED_BEGIN_S, RAISED_END_S)
+    shared_counts = shared.sum_seconds(RAISED_BEGIN_S, RAISED_END_S)
+    assert_that(unshared_counts.in_time, LessThan(0.8 * shared_counts.in_time))
