--- a/chervilrock/decisions/control/context.py
+++ b/chervilrock/decisions/control/context.py
@@ -68,7 +68,7 @@
     progress: Progress
     idle: frozenset[str]
     quiet_at: float
-    until: float
+    lease_ends_at: float
     timing: ControlTiming
     now: float
     wholes: dict[tuple[str, int], bool]
--- a/chervilrock/decisions/control/loading.py
+++ b/chervilrock/decisions/control/loading.py
@@ -122,7 +122,7 @@
         return
     order = order_load(group, rank, leader)
     if context.progress.is_due(host, order, context.now):
-        yield SendOrder(host, entry["address"], order, context.until)
+        yield SendOrder(host, entry["address"], order, context.lease_ends_at)
 
 
 def _find_domain(context: ControlContext, hosts: tuple[str, ...]) -> str:
--- a/chervilrock/decisions/control/release.py
+++ b/chervilrock/decisions/control/release.py
@@ -135,7 +135,7 @@
             return
     order = order_unload(ownership.group, ownership.revoked)
     if progress.is_due(host, order, context.now):
-        yield SendOrder(host, entry["address"], order, context.until)
+        yield SendOrder(host, entry["address"], order, context.lease_ends_at)
 
 
 def _append(context: ControlContext, body: Body) -> Iterator[AppendRecord]:
--- a/chervilrock/decisions/controller.py
+++ b/chervilrock/decisions/controller.py
@@ -89,7 +89,7 @@
         progress=pending,
         idle=idle,
         quiet_at=lease.taker.quiet_at,
-        until=lease.holder.until,
+        lease_ends_at=lease.holder.until,
         timing=timing,
         now=now,
         wholes={(group.name, group.fence): True for group in whole},
--- a/chervilrock/decisions/serving/controller.py
+++ b/chervilrock/decisions/serving/controller.py
@@ -107,7 +107,7 @@
         if membership is not None:
             self._board.note_membership(server.server, membership)
 
-    def note_gone(self, server: str) -> None:
+    def record_removed(self, server: str) -> None:
         """Record that the entry of a server was removed."""
         self._board.hosts.remove_entry(server)
 
@@ -164,7 +164,7 @@
         for group in list(self._board.groups.values()):
             if server not in group.members:
                 continue
-            if group.doubted is not None and group.phase is Phase.SERVING:
+            if group.verifying_since is not None and group.phase is Phase.SERVING:
                 self._verifier.apply_report(group, server, report, now)
             elif group.phase is Phase.CLOSING and server == group.head:
                 self._apply_closing_report(group, report, now)
@@ -393,7 +393,7 @@
                 self._verifier.verify(
                     group, f"the entry of {server} differs", now
                 )
-        if group.doubted is None:
+        if group.verifying_since is None:
             return []
         effects: list[Effect] = []
         for server in sorted(group.awaited):
--- a/chervilrock/decisions/serving/doubts.py
+++ b/chervilrock/decisions/serving/doubts.py
@@ -55,9 +55,9 @@
           now: present time.
           failures: unanswered status queries after which a member is lost.
         """
-        if group.doubted is not None or now < group.verified_until:
+        if group.verifying_since is not None or now < group.verified_until:
             return
-        group.doubted = now
+        group.verifying_since = now
         group.failures = {}
         group.failures_allowed = failures
         group.awaited = set(group.members)
@@ -105,7 +105,7 @@
         else:
             group.awaited.discard(server)
             if not group.awaited:
-                group.doubted = None
+                group.verifying_since = None
                 group.verified_until = now + VERIFIED_S
                 self._board.record_change(GroupStep.CONFIRMED, group)
 
@@ -149,7 +149,7 @@
             return []
         self._needs_reference = False
         for group in self._board.groups.values():
-            if group.phase is Phase.SERVING and group.doubted is None:
+            if group.phase is Phase.SERVING and group.verifying_since is None:
                 return self._board.query(group.head, QUERY_INTERVAL_S, now)
         return []
 
--- a/chervilrock/decisions/serving/entries.py
+++ b/chervilrock/decisions/serving/entries.py
@@ -30,7 +30,7 @@
         """
         self._may_be_outdated = True
 
-    def take(self, entry: BackendServer) -> BackendServer:
+    def update(self, entry: BackendServer) -> BackendServer:
         """Keep and return the newer of an entry and the known one."""
         self._present.add(entry.server)
         known = self._entries.get(entry.server)
--- a/chervilrock/decisions/serving/firstevents.py
+++ b/chervilrock/decisions/serving/firstevents.py
@@ -34,12 +34,12 @@
         """Create an estimator without samples."""
         self._samples: dict[str, deque[float]] = {}
 
-    def note(self, model: str, seconds: float) -> None:
+    def record(self, model: str, seconds: float) -> None:
         """Record how long a first event took."""
         samples = self._samples.setdefault(model, deque(maxlen=MAX_SAMPLES))
         samples.append(max(0.0, seconds))
 
-    def expect(self, model: str, target_s: float) -> float:
+    def estimate(self, model: str, target_s: float) -> float:
         """Return the estimated time to a first event in seconds.
 
         Args:
--- a/chervilrock/decisions/serving/groups.py
+++ b/chervilrock/decisions/serving/groups.py
@@ -83,7 +83,7 @@
         self.joined: set[str] = set()
         self.awaited: set[str] = set()
         self.due = now
-        self.doubted: float | None = None
+        self.verifying_since: float | None = None
         self.verified_until = now
         self.failures_allowed = 1
         self.failures: dict[str, int] = {}
--- a/chervilrock/decisions/serving/limitbook.py
+++ b/chervilrock/decisions/serving/limitbook.py
@@ -23,7 +23,7 @@
         self._rates = {entry.server: entry.rate for entry in known}
         self._observations = LimitObservations()
 
-    def note(self, server: str, rate: float | None) -> bool:
+    def record(self, server: str, rate: float | None) -> bool:
         """Record the limit that a node reports of a server; None is no limit.
 
         Returns:
@@ -41,7 +41,7 @@
         """Return the limits by server."""
         return self._rates
 
-    def list(
+    def list_servers(
         self, present: Iterable[str], nodes: Sequence[str], now: float
     ) -> tuple[LimitedServer, ...]:
         """Return the servers with limits, and who may send to them.
--- a/chervilrock/decisions/serving/paces.py
+++ b/chervilrock/decisions/serving/paces.py
@@ -83,7 +83,7 @@
 
     pause_s: float
     retry_s: float
-    wait_s: float
+    long_poll_s: float
 
 
 DESIGNATED_READERS = 2
@@ -98,7 +98,7 @@
 """Time without a leader after which nodes that need not claim also read who
 leads. Designated readers claim first, mostly within half a second."""
 
-SERVERS_PACE = Pace(pause_s=0.25, retry_s=EAGER_RETRY_S, wait_s=0.5)
+SERVERS_PACE = Pace(pause_s=0.25, retry_s=EAGER_RETRY_S, long_poll_s=0.5)
 """How the leader reads the entries of the servers. They write some forty
 records a second, and each call is paid for. A server that is leaving must be
 known well within the two seconds after which it may get no requests. The answer
@@ -191,7 +191,7 @@
     return Pace(
         pause_s=QUICK_PAUSE_S,
         retry_s=_find_retry_s(reader),
-        wait_s=min(wait_s, LEADER_LONG_POLL_S) if reader.is_leader else wait_s,
+        long_poll_s=min(wait_s, LEADER_LONG_POLL_S) if reader.is_leader else wait_s,
     )
 
 
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -347,7 +347,7 @@
                         for server in group.members
                     ),
                     requests=self._requests.get(group.head, 0),
-                    may_dissolve=is_serving and group.doubted is None,
+                    may_dissolve=is_serving and group.verifying_since is None,
                 )
             )
         return tuple(placed)
--- a/chervilrock/decisions/serving/revisions.py
+++ b/chervilrock/decisions/serving/revisions.py
@@ -39,7 +39,7 @@
         self._last_attempt = float("-inf")
         self._attempts = 0
 
-    def note_told(self, revision: int, own: int, now: float) -> None:
+    def record_reported(self, revision: int, own: int, now: float) -> None:
         """Record the revision that another node reported.
 
         The wait for the store starts with the first newer revision that was
--- a/chervilrock/decisions/serving/serverlimits.py
+++ b/chervilrock/decisions/serving/serverlimits.py
@@ -270,7 +270,7 @@
         bucket = self._buckets.get(server)
         return bucket is None or bucket.may_send(now)
 
-    def take(self, server: str, now: float) -> None:
+    def consume(self, server: str, now: float) -> None:
         """Consume a token for a request that is sent to a server."""
         bucket = self._buckets.get(server)
         if bucket is not None:
--- a/chervilrock/decisions/serving/silence.py
+++ b/chervilrock/decisions/serving/silence.py
@@ -52,14 +52,14 @@
         """Remove a stream that ended or was moved away."""
         self._sent_at.pop(request_id, None)
 
-    def is_silent(self, limits: "SilenceLimits", now: float) -> bool:
+    def is_stalled(self, limits: "SilenceLimits", now: float) -> bool:
         """Return whether no stream had an event for longer than the limits."""
         if not self._sent_at:
             return False
         oldest_sent_at = min(self._sent_at.values())
         if self._last_progress_at >= oldest_sent_at:
             return now - self._last_progress_at > limits.between_s
-        return now - oldest_sent_at > limits.first_s
+        return now - oldest_sent_at > limits.first_event_s
 
     def list_streams(self) -> Iterable[str]:
         """Return the requests whose streams are at the group."""
@@ -75,7 +75,7 @@
     """
 
     between_s: float
-    first_s: float
+    first_event_s: float
 
 
 def bound_silence(
--- a/chervilrock/decisions/serving/site.py
+++ b/chervilrock/decisions/serving/site.py
@@ -90,7 +90,7 @@
 
     name: str
     size: int
-    pace: float
+    time_factor: float
     share: float
     load_s: float
     warm_s: float
--- a/chervilrock/decisions/serving/storewatch.py
+++ b/chervilrock/decisions/serving/storewatch.py
@@ -32,7 +32,7 @@
     """
 
     term: int
-    returns: int
+    recoveries: int
 
 
 class StoreWatch:
@@ -48,10 +48,10 @@
 
     def __init__(self, *, now: float) -> None:
         """Create a monitor of a store that is available."""
-        self.answered = now
+        self.answered_at = now
         self.lost_at: float | None = None
         self.back_at = float("-inf")
-        self.returns = 0
+        self.recoveries = 0
         self._unreliable_at = float("-inf")
         self._timed_out_topics: set[str] = set()
         self._leader_status: StoreNews | None = None
@@ -62,8 +62,8 @@
         If so, reads that were begun earlier have to be restarted. If only some
         topics are not answered, answers for others do not count as a recovery.
         """
-        gap_s = now - self.answered
-        self.answered = now
+        gap_s = now - self.answered_at
+        self.answered_at = now
         # An earlier answer for another topic may have shown that the store is
         # available, which implies nothing for the reads of this topic.
         had_timed_out = topic in self._timed_out_topics
@@ -73,7 +73,7 @@
         self.lost_at = None
         self.back_at = now
         if has_recovered:
-            self.returns += 1
+            self.recoveries += 1
             self._unreliable_at = now
             self._timed_out_topics.clear()
         return has_recovered
@@ -97,7 +97,7 @@
 
         A pending long poll then waits for an offset that may be far ahead.
         """
-        self.returns += 1
+        self.recoveries += 1
         self.back_at = now
         self._unreliable_at = now
         self._timed_out_topics.clear()
@@ -114,7 +114,7 @@
         recovery would cost 77 nodes 155 more calls whenever a leader is
         replaced.
         """
-        self.returns = int(now - self._unreliable_at < MAX_READ_S)
+        self.recoveries = int(now - self._unreliable_at < MAX_READ_S)
 
     def note_news(self, status: StoreNews) -> bool:
         """Record an announced status; return whether the store recovered."""
@@ -123,6 +123,6 @@
             self._leader_status is not None
             and self._leader_status.term == status.term
         ):
-            known = self._leader_status.returns
+            known = self._leader_status.recoveries
         self._leader_status = status
-        return status.returns > known
+        return status.recoveries > known
--- a/chervilrock/decisions/serving/suspects.py
+++ b/chervilrock/decisions/serving/suspects.py
@@ -73,18 +73,18 @@
     """
 
     content: str
-    ends: tuple[ServerEnd, ...]
+    crashes: tuple[ServerEnd, ...]
     is_withheld: bool
 
     @property
     def servers(self) -> str:
         """The crashed servers, for a log line."""
-        return ",".join(crash.server for crash in self.ends)
+        return ",".join(crash.server for crash in self.crashes)
 
     @property
     def nodes(self) -> str:
         """The nodes that saw the crashes, for a log line."""
-        return ",".join(sorted({crash.node for crash in self.ends}))
+        return ",".join(sorted({crash.node for crash in self.crashes}))
 
 
 class EndReport(NamedTuple):
@@ -95,7 +95,7 @@
       cleared: requests that have completed normally since.
     """
 
-    ends: tuple[tuple[str, ServerEnd], ...] = ()
+    crashes: tuple[tuple[str, ServerEnd], ...] = ()
     cleared: tuple[str, ...] = ()
 
 
@@ -161,7 +161,7 @@
 
     def note_suspect(self, suspect: Suspect, now: float) -> None:
         """Record what another node has found out about a request."""
-        for crash in suspect.ends:
+        for crash in suspect.crashes:
             settle_s = 0.0 if suspect.is_withheld else SETTLE_S
             self.note_end(suspect.content, crash, now, settle_s=settle_s)
 
@@ -169,7 +169,7 @@
         """Remove a request that ran normally; return whether it was known."""
         return self._records.pop(content, None) is not None
 
-    def judge(self, now: float) -> tuple[Suspect, ...]:
+    def evaluate(self, now: float) -> tuple[Suspect, ...]:
         """Return the requests with several crashes, and which are withheld.
 
         The one with most crashes is withheld first, of equals the one whose
@@ -285,13 +285,13 @@
     def __init__(self) -> None:
         """Create a table without suspects."""
         self.version = (-1, 0)
-        self.told: tuple[Suspect, ...] = ()
+        self.announced: tuple[Suspect, ...] = ()
         self._withheld: dict[str, Suspect] = {}
 
     def __bool__(self) -> bool:
         return bool(self._withheld)
 
-    def use(
+    def update(
         self, announced: Iterable[Suspect], own: Iterable[Suspect]
     ) -> tuple[tuple[Suspect, ...], tuple[str, ...]]:
         """Apply what the leader announced and what this node found by itself.
@@ -327,7 +327,7 @@
         """Return whether the leader withholds a request."""
         return any(
             suspect.content == content and suspect.is_withheld
-            for suspect in self.told
+            for suspect in self.announced
         )
 
     def count_withheld(self) -> int:
--- a/chervilrock/decisions/serving/toldloads.py
+++ b/chervilrock/decisions/serving/toldloads.py
@@ -25,7 +25,7 @@
         self._term = -1
         self._reported: deque[Mapping[str, int]] = deque(maxlen=LONGEST_LAG)
 
-    def note(self, term: int, loads: Mapping[str, int]) -> None:
+    def record(self, term: int, loads: Mapping[str, int]) -> None:
         """Record the loads that are reported now to the leader of a term."""
         if term != self._term:
             self._term = term
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -264,7 +264,7 @@
         """
         self._context.metrics.count_withheld()
         exchangelog.log_withheld(self.request_id, suspect)
-        reason = f"{len(suspect.ends)} servers ended under it"
+        reason = f"{len(suspect.crashes)} servers ended under it"
         if self._progress.may_have_run:
             self._end(BAD_GATEWAY, reason)
         else:
@@ -417,7 +417,7 @@
         """Pass whole events on to the caller."""
         if self._first_event is None:
             self._first_event = read_clock()
-            self._state.first_events.note(
+            self._state.first_events.record(
                 self._request.facts.model, self._first_event - self._sent_at
             )
         if self._connection.has_begun:
@@ -459,7 +459,7 @@
                 self._state.note_failure(endpoint.group, now)
         is_lost = end in (SendEnd.NOT_RUN, SendEnd.LOST, SendEnd.SILENT)
         if is_lost and not self._has_left and now < self._expires:
-            self._state.doubt(endpoint.name, now)
+            self._state.avoid(endpoint.name, now)
 
     def _keep_answer(
         self, transfer: Transfer, receiver: AnswerReceiver
--- a/chervilrock/edges/serving/places.py
+++ b/chervilrock/edges/serving/places.py
@@ -179,7 +179,7 @@
 
     def _expect_first_event(self, admission: Admission) -> float:
         """Return how long the first event will take after a send."""
-        return self._state.first_events.expect(
+        return self._state.first_events.estimate(
             self._request.facts.model, admission.route.target_s
         )
 
@@ -199,7 +199,7 @@
             return False
         server = self.place.endpoint.server
         self._state.note_sent(server)
-        self._state.limits.take(server, now)
+        self._state.limits.consume(server, now)
         return True
 
     def _choose(self, now: float) -> Place | None:
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -214,7 +214,7 @@
         latest = began + self._settings.stop_within_s - STOP_MARGIN_S
         while read_clock() < latest:
             is_over = read_clock() - began >= LEAST_STOP_S
-            has_work = self._callers.exchanges or self._task.is_needed
+            has_work = self._callers.exchanges or self._task.has_followers
             if is_over and not has_work:
                 break
             await asyncio.sleep(WATCH_S)
@@ -284,10 +284,10 @@
         model = engine.models.get(endpoint.model)
         limits = bound_silence(
             engine,
-            pace=1.0 if model is None else model.pace,
+            pace=1.0 if model is None else model.time_factor,
             running=self._state.count_requests(endpoint.server),
         )
-        if not watch.is_silent(limits, now):
+        if not watch.is_stalled(limits, now):
             return
         self._task.note_silence(endpoint.group, now)
         streams = tuple(watch.list_streams())
@@ -376,7 +376,7 @@
         metrics.running.set(len(self._callers.exchanges))
         metrics.waiting.set(len(self._room))
         metrics.leads.set(1 if self._task.is_leader else 0)
-        metrics.show_hosts(self._task.counts)
+        metrics.show_hosts(self._task.host_counts)
         metrics.show_store_ages(self._task.list_store_ages(now))
         metrics.revision_age.set(self._task.find_revision_age(now))
         metrics.revision_lag.set(self._task.find_revision_lag(now))
--- a/chervilrock/platform/operator.py
+++ b/chervilrock/platform/operator.py
@@ -181,7 +181,7 @@
     return ModelShape(
         name=model.name,
         size=model.size,
-        pace=model.pace,
+        time_factor=model.pace,
         share=model.share,
         load_s=model.load_s,
         warm_s=model.warm_s,
--- a/chervilrock/tasks/serving/dependency.py
+++ b/chervilrock/tasks/serving/dependency.py
@@ -14,12 +14,12 @@
     def __init__(self, *, name: str, now: float) -> None:
         """Create a dependency that counts as available."""
         self.name = name
-        self.answered = now
+        self.answered_at = now
         self._lost_at: float | None = None
 
     def note_answer(self, now: float) -> None:
         """Record an answer; log the recovery after a loss."""
-        self.answered = now
+        self.answered_at = now
         if self._lost_at is not None:
             seconds = round(now - self._lost_at, 3)
             emit(
--- a/chervilrock/tasks/serving/endreports.py
+++ b/chervilrock/tasks/serving/endreports.py
@@ -84,7 +84,7 @@
         elif not self._is_awaiting_answer and now >= self._retry_at:
             self._is_awaiting_answer = True
             report = EndReport(
-                ends=self._list_crashes(self._unsent),
+                crashes=self._list_crashes(self._unsent),
                 cleared=tuple(self._unsent_cleared[:MAX_REPORTED_CRASHES]),
             )
             self._outbound.tell_ends(leader, report)
@@ -103,7 +103,7 @@
             self._retry_at = now + REPORT_RETRY_DELAY_S
             self._broadcast_keys(self._unsent)
             return
-        for content, crash in answered.report.ends:
+        for content, crash in answered.report.crashes:
             self._unsent.pop((content, crash.server), None)
         reported = set(answered.report.cleared)
         self._unsent_cleared = [
@@ -120,9 +120,9 @@
         fresh = [key for key in keys if key not in self._broadcast_done]
         if not fresh:
             return
-        report = EndReport(ends=self._list_crashes(fresh))
+        report = EndReport(crashes=self._list_crashes(fresh))
         self._broadcast_done.update(
-            (content, crash.server) for content, crash in report.ends
+            (content, crash.server) for content, crash in report.crashes
         )
         for entry in self._state.known_nodes.values():
             if entry.incarnation != self._state.own.incarnation:
--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -72,7 +72,7 @@
         # A long poll shows only after its whole timeout that the store does
         # not answer; a call without one shows it within a second.
         is_long_poll = not (self.has_failed or self.is_behind)
-        wait_s = self._choose_schedule().wait_s if is_long_poll else 0.0
+        wait_s = self._choose_schedule().long_poll_s if is_long_poll else 0.0
         result = await self._store.read(self._topic, position, wait_s)
         if isinstance(result, Failure):
             await self._note_failure(result.failure())
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -101,7 +101,7 @@
         self._nodes_sequence = 0
         self._has_servers = False
         self._counted_at = float("-inf")
-        self.counts: tuple[ModelCount, ...] = ()
+        self.host_counts: tuple[ModelCount, ...] = ()
         self._pending_removals: dict[str, float] = {}
         self._follower = outbound.follow(Topic.SERVERS, lambda: SERVERS_PACE)
 
@@ -137,7 +137,7 @@
 
     def note_limit(self, server: str, rate: float | None) -> None:
         """Record the rate limit that a server sent to a node, None for none."""
-        if self._limits.note(server, rate):
+        if self._limits.record(server, rate):
             emit(Event.LIMIT_TOLD, server=server, rate=rate)
 
     def note_report(self, answered: ServerAnswered, now: float) -> None:
@@ -164,7 +164,7 @@
                 reason = decoded.failure()
                 emit(Event.RECORD_UNREADABLE, key=record.key, reason=reason)
                 continue
-            entry = self._entries.take(decoded.unwrap())
+            entry = self._entries.update(decoded.unwrap())
             self._controller.note_server(entry, now)
 
     def keep_known_servers(self, now: float) -> None:
@@ -190,7 +190,7 @@
         incarnation = answered.incarnation
         answer = answered.acknowledgement
         node = self._peers.find(incarnation)
-        self._peers.take(incarnation, answer, self.interval_s, now)
+        self._peers.record_answer(incarnation, answer, self.interval_s, now)
         if node is None:
             return
         if answer is None or answer.node.incarnation != incarnation:
@@ -242,7 +242,7 @@
         for server in self._pending_removals:
             emit(Event.SERVER_GONE, server=server)
             self._entries.note_gone(server)
-            self._controller.note_gone(server)
+            self._controller.record_removed(server)
         self._pending_removals.clear()
 
     def _log_new_relays(self, former: frozenset[str]) -> None:
@@ -306,15 +306,15 @@
             case Command():
                 self._outbound.order(effect)
             case Question():
-                self._outbound.ask(effect.server)
+                self._outbound.query_status(effect.server)
 
     def _count_hosts(self, now: float) -> None:
         """Count the hosts by state and log the counts periodically."""
         if now - self._counted_at < INTERVAL_S:
             return
         self._counted_at = now
-        self.counts = self._controller.count_hosts(now)
-        for count in self.counts:
+        self.host_counts = self._controller.count_hosts(now)
+        for count in self.host_counts:
             emit(
                 Event.HOSTS_COUNTED,
                 service=count.service,
@@ -378,7 +378,7 @@
         present = [group.server for group in groups]
         present += [server.server for server in servers]
         nodes = self._state.list_active_nodes(self._state.own.node, now)
-        return self._limits.list(present, nodes, now)
+        return self._limits.list_servers(present, nodes, now)
 
     def _make_update(self, now: float) -> News:
         state = self._state
@@ -394,10 +394,10 @@
             revision=max(state.revision, self._summary.revision),
             has_traffic=state.has_traffic,
             is_stopping=state.is_stopping,
-            is_cut_from_store=now - self._store.answered > STORE_SILENCE_S,
+            is_cut_from_store=now - self._store.answered_at > STORE_SILENCE_S,
             lost_after_s=SILENT_INTERVALS * interval_s,
             is_relay=False,
-            store_returns=self._store.returns,
+            store_returns=self._store.recoveries,
             suspects_sequence=state.suspects.version[1],
             senders=self._senders,
         )
@@ -412,6 +412,6 @@
             ),
             idle_pause_s=find_pause(len(self._peers)),
             relays=self._circle.relays,
-            suspects=state.suspects.told,
+            suspects=state.suspects.announced,
             suspects_version=state.suspects.version,
         )
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -157,12 +157,12 @@
         return self._leader_role is not None
 
     @property
-    def counts(self) -> tuple[ModelCount, ...]:
+    def host_counts(self) -> tuple[ModelCount, ...]:
         """Host counts for each model; empty unless this node leads."""
-        return () if self._leader_role is None else self._leader_role.counts
+        return () if self._leader_role is None else self._leader_role.host_counts
 
     @property
-    def is_needed(self) -> bool:
+    def has_followers(self) -> bool:
         """Whether this node leads other nodes that take callers."""
         return self._leader_role is not None and self._leader_role.has_followers
 
@@ -175,7 +175,7 @@
         """Report to the leader at once that streams of a group have stalled."""
         if self._state.is_doubted(group, now):
             return
-        self._state.doubt(group, now)
+        self._state.avoid(group, now)
         if self._leader_role is not None:
             self._leader_role.note_silent(group, now)
             return
@@ -192,7 +192,7 @@
         if announcement.term >= self._leadership.term:
             self._follow_leader(announcement, now)
             relayed = self._relay.pass_on(announcement, now)
-        self._reported_loads.note(announcement.term, state.own_loads)
+        self._reported_loads.record(announcement.term, state.own_loads)
         return Acknowledgement(
             term=self._leadership.term,
             node=self._own,
@@ -271,7 +271,7 @@
             "doubted": state.list_doubted(now),
             "failing": state.list_failing(now),
             "short_models": state.shortages.list_short(now),
-            "suspects": state.suspects.told,
+            "suspects": state.suspects.announced,
             "withheld": state.suspects.list_withheld(),
             "waiting": len(self._waitqueue),
             "repeats": state.describe_budgets(),
@@ -612,7 +612,7 @@
                 announcement.nodes_sequence,
             )
         if announcement.suspects is not None:
-            self.suspicion.note_told(
+            self.suspicion.record_announced(
                 (announcement.term, announcement.suspects_sequence),
                 announcement.suspects,
                 now,
@@ -637,7 +637,7 @@
         store_status = StoreNews(announcement.term, announcement.store_returns)
         if self._reads.store.note_news(store_status):
             self._renew_reads("the leader announced that the store recovered")
-        self._revisions.note_told(announcement.revision, state.revision, now)
+        self._revisions.record_reported(announcement.revision, state.revision, now)
         self._announcing_leader = announcement.leader
         self._waitqueue.notify()
 
@@ -670,7 +670,7 @@
         holder = self._announcing_leader
         if self._leader_role is not None:
             summary = self._leader_role.summary
-            self._revisions.note_told(summary.revision, state.revision, now)
+            self._revisions.record_reported(summary.revision, state.revision, now)
             holder = summary.holder
         is_reading = self._is_read(Topic.CONFIGURATION)
         if not self._revisions.is_due(
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -149,7 +149,7 @@
         """Send an order to a server."""
         self._start(self._send_order(command))
 
-    def ask(self, server: BackendServer) -> None:
+    def query_status(self, server: BackendServer) -> None:
         """Query the status of a server."""
         self._start(self._query_server(server))
 
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -166,7 +166,7 @@
         peer = self._peers.get(incarnation)
         return None if peer is None else peer.entry
 
-    def take(
+    def record_answer(
         self,
         incarnation: str,
         answer: Acknowledgement | None,
--- a/chervilrock/tasks/serving/reads.py
+++ b/chervilrock/tasks/serving/reads.py
@@ -123,7 +123,7 @@
 
     def find_age(self, topic: Topic, now: float) -> float:
         """Return the seconds since the last answer for a topic."""
-        return now - self._dependencies[topic].answered
+        return now - self._dependencies[topic].answered_at
 
 
 def _make_dependency(topic: Topic, now: float) -> Dependency:
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -65,7 +65,7 @@
 
     def note_answered(self, answered: PeerAnswered, now: float) -> None:
         """Record the answer to a forwarded announcement."""
-        self._peers.take(
+        self._peers.record_answer(
             answered.incarnation,
             answered.acknowledgement,
             self._interval_s,
@@ -98,6 +98,6 @@
             interval_s=self._interval_s,
             busy_pause_s=0.0,
             idle_pause_s=find_pause(len(self._peers)),
-            suspects=state.suspects.told,
+            suspects=state.suspects.announced,
             suspects_version=state.suspects.version,
         )
--- a/chervilrock/tasks/serving/state.py
+++ b/chervilrock/tasks/serving/state.py
@@ -282,7 +282,7 @@
         else:
             self._own_loads.pop(server, None)
 
-    def doubt(self, endpoint: str, now: float) -> None:
+    def avoid(self, endpoint: str, now: float) -> None:
         """Avoid a group or server, given by name, for `AVOIDED_S`."""
         self._avoided_until[endpoint] = now + AVOIDED_S
 
--- a/chervilrock/tasks/serving/suspicion.py
+++ b/chervilrock/tasks/serving/suspicion.py
@@ -187,16 +187,16 @@
 
     def note_report(self, report: EndReport, now: float) -> None:
         """Record the crashes and completions that another node reports."""
-        for content, crash in report.ends:
+        for content, crash in report.crashes:
             self._record_crash(content, crash, now)
         for content in report.cleared:
             self._clear(content)
         if not self._is_leading:
             # No leader combines the crashes that different nodes saw, so each
             # node has to get those that this one saw.
-            self._reports.broadcast(content for content, _ in report.ends)
+            self._reports.broadcast(content for content, _ in report.crashes)
 
-    def note_told(
+    def record_announced(
         self,
         version: tuple[int, int],
         suspects: tuple[Suspect, ...],
@@ -213,13 +213,13 @@
         listed = {suspect.content for suspect in suspects}
         if version[0] == table.version[0] and len(suspects) < MAX_TOLD:
             # The leader had these in its list before and has cleared them.
-            for suspect in table.told:
+            for suspect in table.announced:
                 if suspect.content not in listed:
                     self._clear(suspect.content)
         for suspect in suspects:
             self._tracker.note_suspect(suspect, now)
         table.version = version
-        table.told = suspects
+        table.announced = suspects
         self._evaluate_at = float("-inf")
 
     def _clear(self, content: str) -> None:
@@ -304,7 +304,7 @@
         is_new_term = term is not None and table.version[0] != term
         if now < self._evaluate_at and not is_new_term:
             return False
-        suspects = self._tracker.judge(now)
+        suspects = self._tracker.evaluate(now)
         self._evaluate_at = self._find_next_evaluation(now)
         if term is None:
             self._reports.broadcast(
@@ -313,11 +313,11 @@
                 if suspect.is_withheld
                 and not table.is_told_withheld(suspect.content)
             )
-        elif is_new_term or suspects != table.told:
+        elif is_new_term or suspects != table.announced:
             number = 0 if is_new_term else table.version[1] + 1
             table.version = (term, number)
-            table.told = suspects
-        withheld, released = table.use(table.told, suspects)
+            table.announced = suspects
+        withheld, released = table.update(table.announced, suspects)
         for suspect in withheld:
             emit(
                 Event.CONTENT_WITHHELD,
--- a/test/decisions/serving/fleet.py
+++ b/test/decisions/serving/fleet.py
@@ -361,7 +361,7 @@
             _, _, event = heapq.heappop(self._queue)
             match event:
                 case ("gone", name):
-                    self.controller.note_gone(name)
+                    self.controller.record_removed(name)
                 case ("obey", name, order):
                     if not self.servers[name].is_dead:
                         self.obey(name, order)
--- a/test/decisions/serving/test_controller.py
+++ b/test/decisions/serving/test_controller.py
@@ -141,7 +141,7 @@
     members = find_group(fleet, "large")
     for name in (members[0], members[2], members[3]):
         fleet.servers[name].is_unreachable = True
-    fleet.controller.note_gone(members[0])
+    fleet.controller.record_removed(members[0])
     fleet.run(2.0)
     for name in (members[2], members[3]):
         fleet.servers[name].is_unreachable = False
@@ -365,7 +365,7 @@
             )
         elif action < 0.7:
             victim.is_unreachable = True
-            fleet.controller.note_gone(victim.server)
+            fleet.controller.record_removed(victim.server)
         elif action < 0.85:
             victim.is_leaving = True
         if generator.random() < 0.4:
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -54,7 +54,7 @@
 )
 from test.decisions.serving.fleet import ENGINE, LARGE, SMALL
 
-LIMITS = SilenceLimits(between_s=0.2, first_s=0.35)
+LIMITS = SilenceLimits(between_s=0.2, first_event_s=0.35)
 
 OWN = AnswerFacts(
     status=200,
@@ -275,13 +275,13 @@
     watch.note_sent("a", 0.0)
     watch.note_sent("b", 0.0)
     watch.note_progress(0.1)
-    assert_that(watch.is_silent(LIMITS, 0.25), Is(False))
-    assert_that(watch.is_silent(LIMITS, 0.35), Is(True))
+    assert_that(watch.is_stalled(LIMITS, 0.25), Is(False))
+    assert_that(watch.is_stalled(LIMITS, 0.35), Is(True))
     watch.note_progress(0.36)
-    assert_that(watch.is_silent(LIMITS, 0.4), Is(False))
+    assert_that(watch.is_stalled(LIMITS, 0.4), Is(False))
     watch.note_end("a")
     watch.note_end("b")
-    assert_that(watch.is_silent(LIMITS, 9.0), Is(False))
+    assert_that(watch.is_stalled(LIMITS, 9.0), Is(False))
 
 
 def test_an_idle_time_before_a_stream_is_no_stall() -> None:
@@ -290,13 +290,13 @@
     watch.note_progress(0.1)
     watch.note_end("a")
     watch.note_sent("b", 5.0)
-    assert_that(watch.is_silent(LIMITS, 5.1), Is(False))
-    assert_that(watch.is_silent(LIMITS, 5.6), Is(True))
+    assert_that(watch.is_stalled(LIMITS, 5.1), Is(False))
+    assert_that(watch.is_stalled(LIMITS, 5.6), Is(True))
 
 
 def test_the_stall_limit_leaves_time_within_the_longest_pause() -> None:
-    large = bound_silence(ENGINE, pace=LARGE.pace, running=6)
-    small = bound_silence(ENGINE, pace=SMALL.pace, running=6)
+    large = bound_silence(ENGINE, pace=LARGE.time_factor, running=6)
+    small = bound_silence(ENGINE, pace=SMALL.time_factor, running=6)
     assert_that(large.between_s, LessThan(0.3))
     assert_that(small.between_s, LessThan(0.2))
     full = bound_silence(ENGINE, pace=1.0, running=99)
@@ -309,8 +309,8 @@
     watch = GroupWatch()
     for number in range(13):
         watch.note_sent(str(number), 0.0)
-    assert_that(watch.is_silent(limits, reading_s + 0.15), Is(False))
-    assert_that(watch.is_silent(limits, limits.first_s + 0.01), Is(True))
+    assert_that(watch.is_stalled(limits, reading_s + 0.15), Is(False))
+    assert_that(watch.is_stalled(limits, limits.first_event_s + 0.01), Is(True))
 
 
 def test_one_node_claims_without_contact_with_a_leader() -> None:
--- a/test/decisions/serving/test_entries.py
+++ b/test/decisions/serving/test_entries.py
@@ -28,7 +28,7 @@
 @pytest.fixture
 def entries() -> NewestEntries:
     entries = NewestEntries()
-    entries.take(make_entry(5, is_leaving=True))
+    entries.update(make_entry(5, is_leaving=True))
     return entries
 
 
@@ -36,7 +36,7 @@
     entries: NewestEntries,
 ) -> None:
     entries.note_copy()
-    assert_that(entries.take(make_entry(4)).is_leaving, Is(True))
+    assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
 
 
 def test_the_last_entry_of_a_server_that_is_gone_is_kept(
@@ -45,7 +45,7 @@
     entries.note_gone("i-1")
     assert_that(list(entries.list_present()), HasLength(0))
     entries.note_copy()
-    assert_that(entries.take(make_entry(4)).is_leaving, Is(True))
+    assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
 
 
 @pytest.mark.parametrize(
@@ -57,13 +57,13 @@
     entries: NewestEntries, entry: BackendServer
 ) -> None:
     entries.note_copy()
-    assert_that(entries.take(entry).is_leaving, Is(False))
+    assert_that(entries.update(entry).is_leaving, Is(False))
 
 
 def test_write_counts_are_compared_only_after_a_restore(
     entries: NewestEntries,
 ) -> None:
-    assert_that(entries.take(make_entry(4)).is_leaving, Is(False))
+    assert_that(entries.update(make_entry(4)).is_leaving, Is(False))
 
 
 def test_a_claim_of_a_later_era_is_newer_than_all_before() -> None:
--- a/test/decisions/serving/test_firstevents.py
+++ b/test/decisions/serving/test_firstevents.py
@@ -18,7 +18,7 @@
 def record_times(times: list[float]) -> FirstEvents:
     events = FirstEvents()
     for seconds in times:
-        events.note("m", seconds)
+        events.record("m", seconds)
     return events
 
 
@@ -26,37 +26,37 @@
 def test_a_default_is_expected_before_there_are_enough_samples(
     count: int,
 ) -> None:
-    estimate = record_times([9.0] * count).expect("m", TARGET_S)
+    estimate = record_times([9.0] * count).estimate("m", TARGET_S)
     assert_that(estimate, Equals(DEFAULT_TARGET_FRACTION * TARGET_S))
 
 
 def test_most_first_events_come_within_the_estimate() -> None:
     times = [0.1 + 0.005 * number for number in range(20)]
-    estimate = record_times(times).expect("m", TARGET_S)
+    estimate = record_times(times).estimate("m", TARGET_S)
     within = sum(seconds <= estimate for seconds in times)
     assert_that(within, GreaterThan(10))
     assert_that(within, LessThan(20))
 
 
 def test_slow_groups_do_not_make_every_request_late() -> None:
-    estimate = record_times([30.0] * MAX_SAMPLES).expect("m", TARGET_S)
+    estimate = record_times([30.0] * MAX_SAMPLES).estimate("m", TARGET_S)
     assert_that(estimate, Equals(MAX_TARGET_FRACTION * TARGET_S))
 
 
 def test_old_samples_are_forgotten() -> None:
     events = record_times([30.0] * MAX_SAMPLES + [0.1] * MAX_SAMPLES)
-    assert_that(events.expect("m", TARGET_S), Equals(0.1))
+    assert_that(events.estimate("m", TARGET_S), Equals(0.1))
 
 
 def test_a_negative_time_counts_as_zero() -> None:
     assert_that(
-        record_times([-5.0] * MAX_SAMPLES).expect("m", TARGET_S), Equals(0.0)
+        record_times([-5.0] * MAX_SAMPLES).estimate("m", TARGET_S), Equals(0.0)
     )
 
 
 def test_models_have_separate_estimates() -> None:
     events = record_times([0.1] * MAX_SAMPLES)
     assert_that(
-        events.expect("other", TARGET_S),
+        events.estimate("other", TARGET_S),
         Equals(DEFAULT_TARGET_FRACTION * TARGET_S),
     )
--- a/test/decisions/serving/test_paces.py
+++ b/test/decisions/serving/test_paces.py
@@ -52,15 +52,15 @@
 def test_long_polls_last_longer_in_larger_installations(nodes, wait_s):
     reader = STEADY._replace(nodes=nodes)
     for choose in (choose_configuration_pace, choose_nodes_pace):
-        assert_that(round(choose(reader).wait_s, 3), Equals(wait_s))
+        assert_that(round(choose(reader).long_poll_s, 3), Equals(wait_s))
 
 
 def test_the_leader_reads_the_configuration_often():
     # Together with the timeout of the answer and a pause, the leader detects
     # an unresponsive connection within the two seconds of a configuration.
     schedule = choose_configuration_pace(STEADY._replace(is_leader=True))
-    assert_that(schedule.wait_s, Equals(LEADER_LONG_POLL_S))
-    assert_that(schedule.wait_s + TIMEOUT_S + schedule.pause_s, LessThan(2.0))
+    assert_that(schedule.long_poll_s, Equals(LEADER_LONG_POLL_S))
+    assert_that(schedule.long_poll_s + TIMEOUT_S + schedule.pause_s, LessThan(2.0))
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
 def test_no_long_polls_are_made_while_the_store_does_not_answer(reader):
     missing = reader._replace(misses_store=True)
     for choose in (choose_configuration_pace, choose_nodes_pace):
-        assert_that(choose(missing).wait_s, Equals(0.0))
+        assert_that(choose(missing).long_poll_s, Equals(0.0))
 
 
 def test_only_nodes_that_announce_a_recovery_retry_often():
--- a/test/decisions/serving/test_revisions.py
+++ b/test/decisions/serving/test_revisions.py
@@ -26,7 +26,7 @@
         tracker = RevisionWatch()
         read_at = generator.uniform(0.0, 0.1)
         reported_at = generator.uniform(0.0, 0.1)
-        tracker.note_told(7, 7 if reported_at >= read_at else 6, reported_at)
+        tracker.record_reported(7, 7 if reported_at >= read_at else 6, reported_at)
         for step in range(100):
             now = step * 0.05
             request_count += tracker.is_due(7 if now >= read_at else 6, now)
@@ -36,7 +36,7 @@
 def test_a_node_without_the_store_retries_until_it_has_the_document() -> None:
     tracker = RevisionWatch()
     generator = random.Random(1)
-    tracker.note_told(7, 6, 0.0)
+    tracker.record_reported(7, 6, 0.0)
     assert_that(tracker.is_due(6, STORE_WAIT_S - 0.01), Is(False))
     sources = []
     now = STORE_WAIT_S
@@ -53,7 +53,7 @@
 
 def test_the_reporting_node_is_chosen_without_other_near_nodes() -> None:
     tracker = RevisionWatch()
-    tracker.note_told(7, 6, 0.0)
+    tracker.record_reported(7, 6, 0.0)
     for _ in range(3):
         source = tracker.choose_source((), LEADER, random.Random(1), 1.0)
         assert_that(source is LEADER, Is(True))
@@ -61,14 +61,14 @@
 
 def test_a_report_of_an_older_revision_changes_nothing() -> None:
     tracker = RevisionWatch()
-    tracker.note_told(7, 6, 0.0)
-    tracker.note_told(5, 6, 1.0)
+    tracker.record_reported(7, 6, 0.0)
+    tracker.record_reported(5, 6, 1.0)
     assert_that(tracker.is_due(6, STORE_WAIT_S), Is(True))
 
 
 def test_a_node_without_any_configuration_requests_one_at_once() -> None:
     tracker = RevisionWatch()
-    tracker.note_told(7, NO_REVISION, 0.0)
+    tracker.record_reported(7, NO_REVISION, 0.0)
     assert_that(tracker.is_due(NO_REVISION, 0.0), Is(True))
 
 
@@ -78,7 +78,7 @@
     requested_at = None
     for step in range(110):
         now = step * 0.05
-        tracker.note_told(40 + int(now / 0.24), 39, now)
+        tracker.record_reported(40 + int(now / 0.24), 39, now)
         if requested_at is None and tracker.is_due(39, now):
             requested_at = now
     assert requested_at is not None
@@ -92,13 +92,13 @@
     for step in range(110):
         now = step * 0.05
         own = 40 + int((now - 0.1) / 0.24)
-        tracker.note_told(40 + int(now / 0.24), own, now)
+        tracker.record_reported(40 + int(now / 0.24), own, now)
         request_count += tracker.is_due(own, now)
     assert_that(request_count, Equals(0))
 
 
 def test_a_node_that_does_not_read_the_store_sends_a_request_at_once() -> None:
     tracker = RevisionWatch()
-    tracker.note_told(7, 6, 1.0)
+    tracker.record_reported(7, 6, 1.0)
     assert_that(tracker.is_due(6, 1.0, is_reading=True), Is(False))
     assert_that(tracker.is_due(6, 1.0, is_reading=False), Is(True))
--- a/test/decisions/serving/test_serverlimits.py
+++ b/test/decisions/serving/test_serverlimits.py
@@ -74,7 +74,7 @@
             self._limits[name].take_told(self._announce(now), now)
 
     def _announce(self, now: float) -> tuple[LimitedServer, ...]:
-        return self._registry.list([SERVER], self.names, now)
+        return self._registry.list_servers([SERVER], self.names, now)
 
     def simulate(self, until_s: float, *, restarts_s: float = math.inf) -> None:
         """Send whatever may be sent; random nodes restart in turn."""
@@ -98,11 +98,11 @@
             for _ in range(20):
                 if not limits.may_send(SERVER, now):
                     break
-                limits.take(SERVER, now)
+                limits.consume(SERVER, now)
                 self.arrivals.append(now)
                 stated = StatedLimit(rate)
                 limits.note_answer(SERVER, stated, self.names, now)
-                self._registry.note(SERVER, rate)
+                self._registry.record(SERVER, rate)
 
     def count_most(self) -> int:
         """Return the most requests in a window once the limit holds."""
@@ -143,7 +143,7 @@
         now = step * 0.001
         for _ in range(10):
             assert_that(limits.may_send(SERVER, now), Is(True))
-            limits.take(SERVER, now)
+            limits.consume(SERVER, now)
 
 
 def expect(value: Any, wanted: Any) -> None:
@@ -261,26 +261,26 @@
 def test_a_new_leader_keeps_the_limits_that_the_last_one_announced() -> None:
     announced = LimitedServer(SERVER, 2.0, ("n0",))
     registry = LimitBook(known=[announced])
-    assert_that(registry.note(SERVER, 2.05), Is(False))
-    listed = registry.list([SERVER], ["n0"], 0.0)
+    assert_that(registry.record(SERVER, 2.05), Is(False))
+    listed = registry.list_servers([SERVER], ["n0"], 0.0)
     expect(listed, (announced,))
 
 
 def test_the_last_report_counts_when_nodes_report_different_limits() -> None:
     registry = LimitBook(known=())
-    assert_that(registry.note(SERVER, 2.0), Is(True))
-    assert_that(registry.note(SERVER, 1.0), Is(True))
+    assert_that(registry.record(SERVER, 2.0), Is(True))
+    assert_that(registry.record(SERVER, 1.0), Is(True))
     expect(registry.find_rates(), {SERVER: 1.0})
-    assert_that(registry.note(SERVER, None), Is(True))
-    assert_that(registry.note(SERVER, None), Is(False))
+    assert_that(registry.record(SERVER, None), Is(True))
+    assert_that(registry.record(SERVER, None), Is(False))
 
 
 def test_limits_of_absent_servers_are_forgotten() -> None:
     registry = LimitBook(known=())
-    registry.note(SERVER, 2.0)
-    registry.note("other", 2.0)
-    assert_that(registry.list(["other"], ["n0"], 0.0), HasLength(2))
-    listed = registry.list(["other"], ["n0"], FORGET_S + 1.0)
+    registry.record(SERVER, 2.0)
+    registry.record("other", 2.0)
+    assert_that(registry.list_servers(["other"], ["n0"], 0.0), HasLength(2))
+    listed = registry.list_servers(["other"], ["n0"], FORGET_S + 1.0)
     assert_that([entry.server for entry in listed], Equals(["other"]))
     assert_that(list(registry.find_rates()), Contains("other"))
     assert_that(registry.find_rates(), HasLength(1))
--- a/test/decisions/serving/test_storewatch.py
+++ b/test/decisions/serving/test_storewatch.py
@@ -19,7 +19,7 @@
     assert_that(monitor.lost_at == 2.5, Is(True))
     assert_that(monitor.note_answer("servers", 4.0), Is(True))
     assert_that(monitor.note_answer("servers", 4.1), Is(False))
-    assert_that((monitor.returns, monitor.back_at), Equals((1, 4.0)))
+    assert_that((monitor.recoveries, monitor.back_at), Equals((1, 4.0)))
     assert_that(monitor.lost_at is None, Is(True))
 
 
@@ -41,7 +41,7 @@
         if step % 5 == 0:
             monitor.note_failure("configuration", now, is_silent=True)
         monitor.note_answer("servers", now)
-    assert_that(monitor.returns, Equals(0))
+    assert_that(monitor.recoveries, Equals(0))
 
 
 def test_a_store_that_rejects_single_calls_does_not_recover_each_time():
@@ -53,7 +53,7 @@
             monitor.note_failure("servers", now, is_silent=False)
         else:
             monitor.note_answer("servers", now)
-    assert_that(monitor.returns, Equals(0))
+    assert_that(monitor.recoveries, Equals(0))
 
 
 def test_a_store_that_rejected_all_calls_for_a_while_recovers():
@@ -77,7 +77,7 @@
     monitor = StoreWatch(now=0.0)
     monitor.note_doubt(1.5)
     monitor.begin_term(1.6)
-    assert_that(monitor.returns, Equals(1))
+    assert_that(monitor.recoveries, Equals(1))
 
 
 def test_a_leader_counts_a_recovery_shortly_before_its_term():
@@ -86,6 +86,6 @@
     monitor.note_failure("nodes", 1.0, is_silent=True)
     monitor.note_answer("nodes", 5.0)
     monitor.begin_term(5.1)
-    assert_that(monitor.returns, Equals(1))
+    assert_that(monitor.recoveries, Equals(1))
     monitor.begin_term(5.0 + MAX_READ_S)
-    assert_that(monitor.returns, Equals(0))
+    assert_that(monitor.recoveries, Equals(0))
--- a/test/decisions/serving/test_suspects.py
+++ b/test/decisions/serving/test_suspects.py
@@ -49,7 +49,7 @@
 
 def list_withheld(tracker: SuspectLedger, now: float = LATER) -> list[str]:
     return [
-        suspect.content for suspect in tracker.judge(now) if suspect.is_withheld
+        suspect.content for suspect in tracker.evaluate(now) if suspect.is_withheld
     ]
 
 
@@ -178,7 +178,7 @@
     record_crashes(tracker, CAUSE, "ABC")
     for number in range(2 * MAX_TOLD):
         record_crashes(tracker, f"a/{number}", "XY")
-    announced = tracker.judge(LATER)
+    announced = tracker.evaluate(LATER)
     assert_that(len(announced), Equals(MAX_TOLD))
     assert_that(announced[0].content, Equals(CAUSE))
 
@@ -189,7 +189,7 @@
     record_crashes(tracker, CAUSE, "ABC")
     record_crashes(tracker, BYSTANDER, "AB", served_s=0.3)
     successor = SuspectLedger()
-    for suspect in tracker.judge(LATER):
+    for suspect in tracker.evaluate(LATER):
         successor.note_suspect(suspect, LATER)
     assert_that(list_withheld(successor), Equals([CAUSE]))
     record_crashes(successor, BYSTANDER, "C", served_s=0.3)
@@ -205,12 +205,12 @@
     table = SuspectTable()
     withheld = make_suspect(is_withheld=True)
     suspected = make_suspect(is_withheld=False)
-    begun, _ = table.use((), (withheld,))
+    begun, _ = table.update((), (withheld,))
     assert_that([suspect.content for suspect in begun], Equals([CAUSE]))
-    begun, ended = table.use((withheld,), (suspected,))
+    begun, ended = table.update((withheld,), (suspected,))
     assert_that((*begun, *ended), HasLength(0))
     assert_that(table.find_withheld(CAUSE) == withheld, Is(True))
-    _, ended = table.use((suspected,), ())
+    _, ended = table.update((suspected,), ())
     assert_that(list(ended), Equals([CAUSE]))
     assert_that(table.find_withheld(CAUSE) is None, Is(True))
 
--- a/test/decisions/serving/test_toldloads.py
+++ b/test/decisions/serving/test_toldloads.py
@@ -13,7 +13,7 @@
 def reported() -> ToldLoads:
     loads = ToldLoads()
     for count in (1, 2, 3):
-        loads.note(TERM, {"s": count})
+        loads.record(TERM, {"s": count})
     return loads
 
 
@@ -27,7 +27,7 @@
 def test_reported_loads_do_not_change_with_the_current_requests() -> None:
     reported = ToldLoads()
     loads = {"s": 1}
-    reported.note(TERM, loads)
+    reported.record(TERM, loads)
     loads["s"] = 9
     assert_that(reported.find_counted(TERM, 1)["s"], Equals(1))
 
--- a/test/tasks/crashing_requests.py
+++ b/test/tasks/crashing_requests.py
@@ -68,7 +68,7 @@
         sent_at = loop.time()
         await asyncio.sleep(CRASH_DELAY_S)
         server = f"{self.content}-{len(self.sends)}"
-        self._site.ended.add(server)
+        self._site.crashed_servers.add(server)
         self.sends.append(CrashingSend(address, sent_at, loop.time()))
         member = self._site.members.get(address)
         if member is None:
--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -300,7 +300,7 @@
         self.loop = asyncio.get_running_loop()
         monkeypatch.setattr(node_module, "read_clock", self.loop.time)
         monkeypatch.setattr(suspicion_module, "read_clock", self.loop.time)
-        self.ended: set[str] = set()
+        self.crashed_servers: set[str] = set()
         self.parted: set[str] = set()
         self.store = Store()
         self.members: dict[str, RunningNode] = {}
@@ -365,7 +365,7 @@
     def count_calls(self) -> int:
         return sum(node.connection.calls for node in self.members.values())
 
-    async def wait(self, condition: Callable[[], bool], limit_s: float) -> None:
+    async def wait_until(self, condition: Callable[[], bool], limit_s: float) -> None:
         """Wait until a condition holds or the time limit has passed."""
         deadline = self.loop.time() + limit_s
         while not condition() and self.loop.time() < deadline:
@@ -427,7 +427,7 @@
                 client=client,
                 decode_configuration=_decode_configuration,
                 decode_server=_decode_server,
-                liveness=Liveness(crashed=self.ended),
+                liveness=Liveness(crashed=self.crashed_servers),
             ),
             state=state,
             room=WaitingRoom(),
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -181,7 +181,7 @@
     def __init__(self, *, fleet: Fleet, shape: ModelShape) -> None:
         self._profile = fleet.engine
         self._fleet = fleet
-        self._time_factor = shape.pace
+        self._time_factor = shape.time_factor
         self._waiting: list[_EngineRequest] = []
         self._running: list[_EngineRequest] = []
         self._is_in_pass = False
@@ -562,7 +562,7 @@
                     senders=len(self._nodes),
                     now=now,
                 )
-                reported.note(TERM, state.own_loads)
+                reported.record(TERM, state.own_loads)
                 for server, count in state.own_loads.items():
                     total[server] = total.get(server, 0) + count
             self._load_totals = [*self._load_totals[1:], total]
--- a/test/tasks/stale_loads.py
+++ b/test/tasks/stale_loads.py
@@ -206,7 +206,7 @@
             state.take_loads(
                 self._totals[0], own, senders=len(self._states), now=now
             )
-            reported.note(TERM, state.own_loads)
+            reported.record(TERM, state.own_loads)
         total: dict[str, int] = {}
         for state in self._states:
             for server, count in state.own_loads.items():
--- a/test/tasks/sweep_copies.py
+++ b/test/tasks/sweep_copies.py
@@ -122,10 +122,10 @@
         await asyncio.sleep(draw.uniform(0.0, 1.0))
         self._confirm()
         confirmed = site.loop.time()
-        await site.wait(self._has_revision, LIMIT_S)
+        await site.wait_until(self._has_revision, LIMIT_S)
         lateness_s = site.loop.time() - confirmed
         self.revision_s = max(self.revision_s, lateness_s)
-        await site.wait(lambda: is_led_by_one(site), LIMIT_S)
+        await site.wait_until(lambda: is_led_by_one(site), LIMIT_S)
         self.led_s = max(self.led_s, site.loop.time() - restored)
 
     def _has_revision(self) -> bool:
--- a/test/tasks/sweep_crashes.py
+++ b/test/tasks/sweep_crashes.py
@@ -67,12 +67,12 @@
             mean_pause_s=MEAN_PAUSE_S,
         )
     )
-    await site.wait(lambda: len(request.sends) >= MAX_ENDS - 1, MAX_WAIT_S)
+    await site.wait_until(lambda: len(request.sends) >= MAX_ENDS - 1, MAX_WAIT_S)
     await asyncio.sleep(generator.uniform(0.0, 0.2))
     _inject_fault(site, fault)
-    await site.wait(lambda: len(request.sends) >= MAX_ENDS, MAX_WAIT_S)
+    await site.wait_until(lambda: len(request.sends) >= MAX_ENDS, MAX_WAIT_S)
     third_crash_at = site.loop.time()
-    await site.wait(lambda: _is_withheld_everywhere(site), MAX_WAIT_S)
+    await site.wait_until(lambda: _is_withheld_everywhere(site), MAX_WAIT_S)
     delay_s = site.loop.time() - third_crash_at
     await attempts_task
     await site.stop()
--- a/test/tasks/test_resting_nodes.py
+++ b/test/tasks/test_resting_nodes.py
@@ -39,7 +39,7 @@
 async def change_and_measure(site: Installation) -> float:
     """Confirm a revision; return the longest delay until it is in force."""
     site.change(2)
-    await site.wait(site.is_in_force, 10.0)
+    await site.wait_until(site.is_in_force, 10.0)
     lateness_s = site.find_lateness(0.0)
     await site.stop()
     return lateness_s
@@ -101,7 +101,7 @@
         assert leader is not None
         site.kill(leader)
         lost_at = site.loop.time()
-        await site.wait(lambda: site.find_leader() is not None, 10.0)
+        await site.wait_until(lambda: site.find_leader() is not None, 10.0)
         replaced_s = site.loop.time() - lost_at
         await site.stop()
         return replaced_s
@@ -146,7 +146,7 @@
         await asyncio.sleep(1.0)
         started_at = site.loop.time()
         starting = asyncio.ensure_future(restart(site, leader))
-        await site.wait(lambda: site.find_leader() is not None, 10.0)
+        await site.wait_until(lambda: site.find_leader() is not None, 10.0)
         leaderless_s = site.loop.time() - started_at
         await starting
         await asyncio.sleep(3.0)
@@ -187,7 +187,7 @@
             await asyncio.sleep(pause_ms / 1000)
         for name in others[2:]:
             site.add(name, f"p{names.index(name) % DATA_CENTRES}")
-        await site.wait(lambda: site.find_leader() is not None, 10.0)
+        await site.wait_until(lambda: site.find_leader() is not None, 10.0)
         leaderless_s = site.loop.time() - started_at
         await site.stop()
         return leaderless_s
--- a/test/tasks/test_serving_peers.py
+++ b/test/tasks/test_serving_peers.py
@@ -95,7 +95,7 @@
             self._peers.announce(update, self._now)
             for node in self._announced:
                 answer = make_answer(node, is_busy=node in self.nodes[:BUSY])
-                self._peers.take(
+                self._peers.record_answer(
                     node.incarnation, answer, interval_s, self._now
                 )
             self._announced.clear()
--- a/test/tasks/test_store_copies.py
+++ b/test/tasks/test_store_copies.py
@@ -50,7 +50,7 @@
     former = site.find_leader()
     assert former is not None
     site.kill(former)
-    await site.wait(lambda: site.find_leader() is not None, 10.0)
+    await site.wait_until(lambda: site.find_leader() is not None, 10.0)
     leader = site.find_leader()
     assert leader is not None
     return leader
@@ -119,7 +119,7 @@
             site.change(revision)
             await asyncio.sleep(0.05)
         changed = site.loop.time()
-        await site.wait(site.is_in_force, 10.0)
+        await site.wait_until(site.is_in_force, 10.0)
         lateness_s = site.loop.time() - changed
         await site.stop()
         return lateness_s
--- a/test/tasks/test_store_outages.py
+++ b/test/tasks/test_store_outages.py
@@ -106,11 +106,11 @@
     for revision in range(2, 2 + REVISIONS):
         site.change(revision)
         await asyncio.sleep(0.05)
-    await site.wait(lambda: site.find_leader() is not None, SETTLED_S)
+    await site.wait_until(lambda: site.find_leader() is not None, SETTLED_S)
     leaderless_s = site.loop.time() - recovered
-    await site.wait(site.has_no_server, SETTLED_S)
+    await site.wait_until(site.has_no_server, SETTLED_S)
     server_s = site.loop.time() - recovered
-    await site.wait(site.is_in_force, SETTLED_S)
+    await site.wait_until(site.is_in_force, SETTLED_S)
     lateness_s = site.find_lateness(recovered)
     await site.stop()
     return Outcome(lateness_s, leaderless_s, server_s)
@@ -207,7 +207,7 @@
             await asyncio.sleep(0.5)
         site.end_fault()
         site.change(18)
-        await site.wait(site.is_in_force, SETTLED_S)
+        await site.wait_until(site.is_in_force, SETTLED_S)
         await site.stop()
         return site.find_lateness(0.0)
 
--- a/test/tasks/test_suspects_at_size.py
+++ b/test/tasks/test_suspects_at_size.py
@@ -170,7 +170,7 @@
             await request.send(node)
         site.add("late", "p0")
         late = site.members["late"].state
-        await site.wait(lambda: late.view.sequence > 0, 5.0)
+        await site.wait_until(lambda: late.view.sequence > 0, 5.0)
         await request.attempt("late")
         await site.stop()
         return request
@@ -192,7 +192,7 @@
         for number in range(nodes):
             site.add(f"n{number:02}", f"p{number % DATA_CENTRES}")
         states = [member.state for member in site.members.values()]
-        await site.wait(
+        await site.wait_until(
             lambda: all(state.view.sequence > 0 for state in states), 10.0
         )
         await request.attempt_everywhere()
--- a/test/tasks/test_suspicion.py
+++ b/test/tasks/test_suspicion.py
@@ -148,7 +148,7 @@
     act(NOW + 1.0, leader=OTHER)
     node, report = calls.reports[-1]
     assert_that(node, Equals("other"))
-    assert_that([content for content, _ in report.ends], Equals([CONTENT]))
+    assert_that([content for content, _ in report.crashes], Equals([CONTENT]))
 
 
 def test_crashes_are_reported_to_all_nodes_if_the_leader_does_not_answer(
