--- a/chervilrock/decisions/serving/adoption.py
+++ b/chervilrock/decisions/serving/adoption.py
@@ -1,9 +1,9 @@
 """Adoption of the groups that an earlier leader formed."""
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.doubts import Doubts
+from chervilrock.decisions.serving.verification import GroupVerifier
 from chervilrock.decisions.serving.effects import GroupStep
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.site import BackendServer, MemberState
 
@@ -14,25 +14,25 @@
 class Adoption:
     """Takes over groups of earlier leaders that appear in servers' entries."""
 
-    def __init__(self, *, board: GroupBoard, verifier: Doubts) -> None:
+    def __init__(self, *, registry: GroupRegistry, verifier: GroupVerifier) -> None:
         """Create an adoption without groups.
 
         Args:
           board: registry that receives the groups.
           verifier: verifies that open groups are still complete.
         """
-        self._board = board
+        self._registry = registry
         self._verifier = verifier
         self._found_at: dict[tuple[str, int], float] = {}
 
     def adopt(self, now: float) -> None:
         """Adopt each earlier leader's group once it is complete or overdue."""
         found: dict[tuple[str, int], list[BackendServer]] = {}
-        for server in self._board.hosts.servers.values():
+        for server in self._registry.hosts.servers.values():
             membership = server.membership
             if membership is None:
                 continue
-            if self._board.is_unknown_member(server):
+            if self._registry.is_unknown_member(server):
                 key = (membership.group, membership.epoch)
                 found.setdefault(key, []).append(server)
         for key, servers in found.items():
@@ -48,7 +48,7 @@
             for member in servers
             if member.membership is not None
         ]
-        engine = self._board.find_engine(servers[0].service)
+        engine = self._registry.find_engine(servers[0].service)
         name = groupnames.parse_name(memberships[0].group)
         if name is None or engine is None:
             return False
@@ -62,9 +62,9 @@
         self, key: tuple[str, int], servers: list[BackendServer], now: float
     ) -> None:
         name = groupnames.parse_name(key[0])
-        engine = self._board.find_engine(servers[0].service)
+        engine = self._registry.find_engine(servers[0].service)
         if name is None or engine is None:
-            self._board.hosts.dissolved.add(key)
+            self._registry.hosts.dissolved.add(key)
             return
         ranked = sorted(
             (server.membership.rank, server)
@@ -82,32 +82,32 @@
             now=now,
         )
         group.may_be_open = not name.is_standby
-        self._board.groups[group.name] = group
-        self._board.record_change(GroupStep.FOUND, group)
+        self._registry.groups[group.name] = group
+        self._registry.record_change(GroupStep.FOUND, group)
         for server in servers:
             if server.membership is not None:
-                self._board.note_membership(server.server, server.membership)
+                self._registry.note_membership(server.server, server.membership)
         group.joined = set(group.members)
         shape = engine.models.get(name.model)
         if shape is not None:
             group.due = now + shape.load_s
         if not self._is_complete(servers):
             group.has_head = ranked[0][0] == 0
-            self._board.dissolve(group, "members are missing", now)
+            self._registry.dissolve(group, "members are missing", now)
             return
         self._adopt_phase(group, now)
 
     def _adopt_phase(self, group: ManagedGroup, now: float) -> None:
         """Set the phase of an adopted group that is complete."""
-        membership = self._board.hosts.servers[group.head].membership
+        membership = self._registry.hosts.servers[group.head].membership
         state = MemberState.JOINING if membership is None else membership.state
         if group.is_standby:
             return
         if state is MemberState.OPEN:
             group.enter(Phase.SERVING, now)
-            self._board.record_change(GroupStep.SERVING, group, "found open")
+            self._registry.record_change(GroupStep.SERVING, group, "found open")
             self._verifier.verify(group, "it was found", now)
         else:
             # Its leader may have abandoned it, and orders to its members that
             # are still in flight may arrive after it would have opened.
-            self._board.dissolve(group, f"found {state.value}", now)
+            self._registry.dissolve(group, f"found {state.value}", now)
--- a/chervilrock/decisions/serving/census.py
+++ b/chervilrock/decisions/serving/census.py
@@ -10,7 +10,7 @@
 import enum
 from typing import NamedTuple
 
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import Phase
 from chervilrock.decisions.serving.site import EngineProfile
 
@@ -34,7 +34,7 @@
     SERVING = "serving"
     CLOSING = "closing"
     JOINING = "joining"
-    CLEARING = "clearing"
+    DISSOLVING = "clearing"
     STANDBY = "standby"
     FREE = "free"
 
@@ -44,7 +44,7 @@
     Phase.OPENING: HostState.JOINING,
     Phase.SERVING: HostState.SERVING,
     Phase.CLOSING: HostState.CLOSING,
-    Phase.CLEARING: HostState.CLEARING,
+    Phase.DISSOLVING: HostState.DISSOLVING,
     Phase.STANDBY: HostState.STANDBY,
 }
 
@@ -75,7 +75,7 @@
 
 
 def count_hosts(
-    board: GroupBoard,
+    registry: GroupRegistry,
     service: str,
     engine: EngineProfile,
     needs: Mapping[str, float],
@@ -94,7 +94,7 @@
     counted: set[str] = set()
 
     def count(server: str, model: str, state: HostState) -> None:
-        entry = board.hosts.servers.get(server)
+        entry = registry.hosts.servers.get(server)
         if entry is None or server in counted:
             return
         counted.add(server)
@@ -102,14 +102,14 @@
         place = (entry.data_centre, state)
         places.setdefault(model, Counter())[place] += 1
 
-    for group in board.groups.values():
+    for group in registry.groups.values():
         if group.service != service:
             continue
         state = _STATES[group.phase]
         groups[group.model] += state is HostState.SERVING
         for server in group.members:
             count(server, group.model, state)
-    for server, entry in board.hosts.servers.items():
+    for server, entry in registry.hosts.servers.items():
         if entry.service == service:
             count(server, "", HostState.FREE)
     return tuple(
--- a/chervilrock/decisions/serving/controller.py
+++ b/chervilrock/decisions/serving/controller.py
@@ -11,12 +11,12 @@
 
 from chervilrock.decisions.serving.adoption import Adoption
 from chervilrock.decisions.serving.census import count_hosts, ModelCount
-from chervilrock.decisions.serving.doubts import Doubts, QUERY_INTERVAL_S
+from chervilrock.decisions.serving.verification import GroupVerifier, QUERY_INTERVAL_S
 from chervilrock.decisions.serving.effects import Command, Effect, GroupStep
 from chervilrock.decisions.serving.forming import Forming
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
-from chervilrock.decisions.serving.hosts import Life
+from chervilrock.decisions.serving.hosts import IncarnationOrder
 from chervilrock.decisions.serving.orders import (
     Close,
     Join,
@@ -62,17 +62,17 @@
 
     def __init__(self, *, term: int) -> None:
         """Create the controller of a term, without servers or groups."""
-        self._board = GroupBoard()
-        self._planner = Planner(board=self._board)
-        self._verifier = Doubts(board=self._board)
-        self._adoption = Adoption(board=self._board, verifier=self._verifier)
+        self._registry = GroupRegistry()
+        self._planner = Planner(registry=self._registry)
+        self._verifier = GroupVerifier(registry=self._registry)
+        self._adoption = Adoption(registry=self._registry, verifier=self._verifier)
         self._forming = Forming(
-            board=self._board, planner=self._planner, term=term
+            registry=self._registry, planner=self._planner, term=term
         )
 
     def set_configuration(self, configuration: SiteConfiguration) -> None:
         """Set the configuration in force."""
-        self._board.configuration = configuration
+        self._registry.configuration = configuration
 
     def note_traffic(self) -> None:
         """Record that callers have begun to send requests."""
@@ -91,9 +91,9 @@
           limited: heads that limit the requests sent to them.
           now: present time.
         """
-        if self._board.configuration is None:
+        if self._registry.configuration is None:
             return
-        for service in self._board.configuration.services.values():
+        for service in self._registry.configuration.services.values():
             if service.engine is not None:
                 self._planner.note_requests(
                     requests, limited, service.engine, service.name, now
@@ -103,17 +103,17 @@
         """Record the entry of a server."""
         if self._is_former_incarnation(server.server, server.born, now):
             return
-        membership = self._board.hosts.apply_entry(server, now)
+        membership = self._registry.hosts.apply_entry(server, now)
         if membership is not None:
-            self._board.note_membership(server.server, membership)
+            self._registry.note_membership(server.server, membership)
 
     def record_removed(self, server: str) -> None:
         """Record that the entry of a server was removed."""
-        self._board.hosts.remove_entry(server)
+        self._registry.hosts.remove_entry(server)
 
-    def note_silent(self, name: str, now: float) -> None:
+    def record_stall(self, name: str, now: float) -> None:
         """Record that the streams of a group have stalled."""
-        group = self._board.groups.get(name)
+        group = self._registry.groups.get(name)
         if group is not None and group.phase is Phase.SERVING:
             self._verifier.verify(
                 group, "its streams are silent", now, failures=1
@@ -124,20 +124,20 @@
     ) -> None:
         """Record the answer to an order, None when there was none."""
         if not isinstance(order, Join):
-            self._board.hosts.record_order(server)
+            self._registry.hosts.record_order(server)
         if isinstance(order, Stage):
             self._planner.note_staging_reply(server, order, reply, now)
             return
-        self._board.dispatcher.finish_order(server, order)
+        self._registry.dispatcher.finish_order(server, order)
         if reply is OrderReply.MISDIRECTED:
             # Another server has its address. Its entry remains until it
             # expires, and the host would be planned again.
-            self._board.hosts.record_unresponsive(server, now)
-        group = self._board.groups.get(order.group)
+            self._registry.hosts.record_unresponsive(server, now)
+        group = self._registry.groups.get(order.group)
         if group is None or group.epoch != order.epoch:
             return
         wait_s = RESEND_DELAY_S if reply is None else RETRY_DELAY_S
-        self._board.dispatcher.delay(server, order, now + wait_s)
+        self._registry.dispatcher.delay(server, order, now + wait_s)
         match order:
             case Join():
                 self._forming.handle_join_reply(group, server, reply, now)
@@ -148,20 +148,20 @@
             case Close():
                 if reply in (OrderReply.STALE, OrderReply.MISDIRECTED):
                     reason = f"its head refused to close: {reply.value}"
-                    self._board.dissolve(group, reason, now)
+                    self._registry.dissolve(group, reason, now)
 
     def note_report(
         self, server: str, report: ServerReport | None, now: float
     ) -> None:
         """Record the state of a server, None when it did not answer."""
-        self._board.dispatcher.finish_query(server)
+        self._registry.dispatcher.finish_query(server)
         if report is not None:
             if self._is_former_incarnation(server, report.born, now):
                 return
             self._apply_report(server, report, now)
         else:
-            self._board.hosts.note_unanswered(server)
-        for group in list(self._board.groups.values()):
+            self._registry.hosts.note_unanswered(server)
+        for group in list(self._registry.groups.values()):
             if server not in group.members:
                 continue
             if group.verifying_since is not None and group.phase is Phase.SERVING:
@@ -178,43 +178,43 @@
         dissolved without an order to it; if it was the head, the head counts
         as having left.
         """
-        relation = self._board.hosts.record_incarnation(server, born)
-        if relation is not Life.NEW:
-            return relation is Life.FORMER
+        relation = self._registry.hosts.record_incarnation(server, born)
+        if relation is not IncarnationOrder.NEW:
+            return relation is IncarnationOrder.FORMER
         self._planner.forget(server)
-        self._board.dispatcher.forget(server)
-        for group in list(self._board.groups.values()):
+        self._registry.dispatcher.forget(server)
+        for group in list(self._registry.groups.values()):
             if server not in group.members:
                 continue
-            self._board.dissolve(group, f"{server} has started again", now)
+            self._registry.dissolve(group, f"{server} has started again", now)
             group.awaited.discard(server)
             if server == group.head and group.has_head:
                 group.head_out = True
             elif group.may_be_open:
                 # A late order could make it rejoin its former group.
-                self._board.hosts.note_left(server, group.epoch, now)
+                self._registry.hosts.note_left(server, group.epoch, now)
         return False
 
     def step(self, now: float) -> list[Effect]:
         """Return the effects that are due now."""
-        configuration = self._board.configuration
+        configuration = self._registry.configuration
         if configuration is None:
             return []
         self._adoption.adopt(now)
         effects: list[Effect] = []
-        for group in list(self._board.groups.values()):
+        for group in list(self._registry.groups.values()):
             effects += self._advance(group, now)
         effects += self._verifier.query_reference_head(now)
         for service in configuration.services.values():
             if service.engine is not None:
                 effects += self._plan(service.name, service.engine, now)
-        return [*self._board.take_changes(), *effects]
+        return [*self._registry.take_changes(), *effects]
 
     def list_groups(self, now: float) -> tuple[GroupEndpoint, ...]:
         """Return the groups that accept requests."""
         endpoints = []
-        for group in self._board.groups.values():
-            head = self._board.hosts.servers.get(group.head)
+        for group in self._registry.groups.values():
+            head = self._registry.hosts.servers.get(group.head)
             is_open = group.phase is Phase.SERVING and now >= group.served_at
             if not is_open or head is None or head.is_leaving:
                 continue
@@ -233,7 +233,7 @@
 
     def count_hosts(self, now: float) -> tuple[ModelCount, ...]:
         """Return the host counts by model."""
-        configuration = self._board.configuration
+        configuration = self._registry.configuration
         if configuration is None:
             return ()
         counts: tuple[ModelCount, ...] = ()
@@ -241,7 +241,7 @@
             engine = service.engine
             if engine is not None:
                 needs = self._planner.find_needs(name, engine, now)
-                counts += count_hosts(self._board, name, engine, needs)
+                counts += count_hosts(self._registry, name, engine, needs)
         return counts
 
     def list_servers(self) -> tuple[ServerEndpoint, ...]:
@@ -254,28 +254,28 @@
                 data_centre=server.data_centre,
                 slots=server.slots,
             )
-            for _, server in sorted(self._board.hosts.servers.items())
+            for _, server in sorted(self._registry.hosts.servers.items())
             if not server.is_leaving
-            and self._board.find_engine(server.service) is None
+            and self._registry.find_engine(server.service) is None
         )
 
-    def list_forming(self) -> tuple[str, ...]:
+    def list_forming_models(self) -> tuple[str, ...]:
         """Return the models for which a group is expected to serve soon."""
-        soon = (Phase.FORMING, Phase.OPENING, Phase.CLEARING)
+        soon = (Phase.FORMING, Phase.OPENING, Phase.DISSOLVING)
         models = {
             group.model
-            for group in self._board.groups.values()
+            for group in self._registry.groups.values()
             if group.phase in soon and not group.is_standby
         }
         return tuple(sorted(models))
 
-    def has_looked(self, now: float) -> bool:
+    def has_adopted_groups(self, now: float) -> bool:
         """Return whether the groups of an earlier leader have been adopted.
 
         Until then the view of that leader is more accurate. Complete groups
         are adopted in the first step after the entries have been read.
         """
-        return now > self._board.hosts.first_entry_at
+        return now > self._registry.hosts.first_entry_at
 
     def describe(self) -> list[dict[str, object]]:
         """Return a description of the groups for a state dump."""
@@ -287,18 +287,18 @@
                 "ready": sorted(group.ready),
                 "reason": group.reason,
             }
-            for group in self._board.groups.values()
+            for group in self._registry.groups.values()
         ]
 
     def _apply_report(
         self, server: str, report: ServerReport, now: float
     ) -> None:
         """Apply the state that a server reported."""
-        has_rejoined = self._board.hosts.apply_report(server, report, now)
+        has_rejoined = self._registry.hosts.apply_report(server, report, now)
         membership = report.membership
         if membership is None:
             return
-        self._board.note_membership(server, membership)
+        self._registry.note_membership(server, membership)
         if has_rejoined:
             self._handle_rejoined(server, membership, now)
 
@@ -311,12 +311,12 @@
         If the server still counted as out of it, it would be given another
         group while that head serves.
         """
-        for group in self._board.groups.values():
+        for group in self._registry.groups.values():
             if group.phase is Phase.FORMING and server in group.members:
-                self._board.dissolve(
+                self._registry.dissolve(
                     group, f"{server} has joined another one", now
                 )
-        former = self._board.groups.get(membership.group)
+        former = self._registry.groups.get(membership.group)
         if former is not None and former.epoch == membership.epoch:
             former.awaited.add(server)
 
@@ -330,14 +330,14 @@
         if reply is None:
             failures = group.failures.get(server, 0) + 1
             group.failures[server] = failures
-            self._board.hosts.record_unresponsive(server, now)
+            self._registry.hosts.record_unresponsive(server, now)
         elif reply is not OrderReply.INVALID:
             # A conflict also means that the server is not in this group.
             group.awaited.discard(server)
-            self._board.hosts.note_left(server, group.epoch, now)
+            self._registry.hosts.note_left(server, group.epoch, now)
             if server == group.head and group.has_head:
                 group.head_out = True
-                self._board.hosts.note_head_out(group.members)
+                self._registry.hosts.note_head_out(group.members)
 
     def _apply_closing_report(
         self, group: ManagedGroup, report: ServerReport | None, now: float
@@ -347,9 +347,9 @@
             return
         membership = report.membership
         if membership is None or membership.epoch != group.epoch:
-            self._board.dissolve(group, "its head has left", now)
+            self._registry.dissolve(group, "its head has left", now)
         elif membership.state in (MemberState.READY, MemberState.BROKEN):
-            self._board.dissolve(group, "its head has finished", now)
+            self._registry.dissolve(group, "its head has finished", now)
 
     def _advance(self, group: ManagedGroup, now: float) -> list[Effect]:
         """Return the effects for a group in its current phase."""
@@ -362,30 +362,30 @@
                 return self._check_serving(group, now)
             case Phase.CLOSING:
                 return self._close(group, now)
-            case Phase.CLEARING:
+            case Phase.DISSOLVING:
                 return self._dissolve(group, now)
             case Phase.STANDBY:
-                if group.head not in self._board.hosts.servers:
-                    self._board.remove(group)
+                if group.head not in self._registry.hosts.servers:
+                    self._registry.remove(group)
                 return []
 
     def _check_serving(self, group: ManagedGroup, now: float) -> list[Effect]:
         """Check a serving group against the entries of its members."""
-        head = self._board.hosts.servers.get(group.head)
+        head = self._registry.hosts.servers.get(group.head)
         if head is None:
-            self._board.dissolve(
+            self._registry.dissolve(
                 group, "the entry of its head was removed", now
             )
             return []
         for server in group.members:
-            entry = self._board.hosts.servers.get(server)
+            entry = self._registry.hosts.servers.get(server)
             if entry is None:
                 self._verifier.verify(
                     group, f"the entry of {server} was removed", now
                 )
             elif entry.is_leaving:
                 group.enter(Phase.CLOSING, now, f"{server} leaves")
-                self._board.record_change(
+                self._registry.record_change(
                     GroupStep.CLOSING, group, group.reason
                 )
                 return self._close(group, now)
@@ -397,22 +397,22 @@
             return []
         effects: list[Effect] = []
         for server in sorted(group.awaited):
-            effects += self._board.query(server, QUERY_INTERVAL_S, now)
+            effects += self._registry.query(server, QUERY_INTERVAL_S, now)
         return effects
 
     def _close(self, group: ManagedGroup, now: float) -> list[Effect]:
-        if group.head not in self._board.hosts.servers:
-            self._board.dissolve(
+        if group.head not in self._registry.hosts.servers:
+            self._registry.dissolve(
                 group, "the entry of its head was removed", now
             )
             return []
         if now - group.since > CLOSE_TIMEOUT_S:
-            self._board.dissolve(group, "its head did not finish in time", now)
+            self._registry.dissolve(group, "its head did not finish in time", now)
             return []
         if now - group.since < CLOSING_QUERY_INTERVAL_S:
             order = Close(group.name, group.epoch)
-            return self._board.command(group.head, order, now)
-        return self._board.query(group.head, CLOSING_QUERY_INTERVAL_S, now)
+            return self._registry.command(group.head, order, now)
+        return self._registry.query(group.head, CLOSING_QUERY_INTERVAL_S, now)
 
     def _dissolve(self, group: ManagedGroup, now: float) -> list[Effect]:
         """Order the head to leave, or every member if the head is lost.
@@ -425,19 +425,19 @@
         present = [
             server
             for server in group.awaited
-            if server in self._board.hosts.servers
+            if server in self._registry.hosts.servers
         ]
         is_free = group.head_out or not group.may_be_open
         if is_free or not present:
-            self._board.remove(group)
+            self._registry.remove(group)
             return []
         leave = Leave(group.name, group.epoch)
         is_head_lost = not group.has_head or group.failures.get(group.head)
         if not is_head_lost and group.head in group.awaited:
-            return self._board.command(group.head, leave, now)
+            return self._registry.command(group.head, leave, now)
         effects: list[Effect] = []
         for server in sorted(group.awaited):
-            effects += self._board.command(server, leave, now)
+            effects += self._registry.command(server, leave, now)
         return effects
 
     def _plan(
@@ -450,13 +450,13 @@
         plan = self._planner.plan(service, engine, now)
         effects: list[Effect] = []
         for host in plan.unheard:
-            is_answering = self._board.hosts.is_answering(host.server)
+            is_answering = self._registry.hosts.is_answering(host.server)
             interval_s = (
                 RESEND_DELAY_S
                 if is_answering
                 else UNRESPONSIVE_QUERY_INTERVAL_S
             )
-            effects += self._board.query(host.server, interval_s, now)
+            effects += self._registry.query(host.server, interval_s, now)
         for formation in plan.formations:
             effects += self._forming.start_group(
                 service, engine, formation, now
@@ -475,10 +475,10 @@
         """Close groups whose hosts are needed for another model."""
         effects: list[Effect] = []
         for name in move.groups:
-            group = self._board.groups[name]
+            group = self._registry.groups[name]
             reason = f"its hosts are needed for {move.model}"
             group.enter(Phase.CLOSING, now, reason)
-            self._board.record_change(GroupStep.CLOSING, group, reason)
+            self._registry.record_change(GroupStep.CLOSING, group, reason)
             effects += self._close(group, now)
         return effects
 
@@ -486,7 +486,7 @@
         self, engine: EngineProfile, staging: Staging, now: float
     ) -> list[Effect]:
         """Let a host stage a second model if the weight store has capacity."""
-        server = self._board.hosts.find(staging.server)
+        server = self._registry.hosts.find(staging.server)
         if server is None or not self._planner.take_load(engine, now):
             return []
         self._planner.note_staging(staging, engine, now)
--- a/chervilrock/decisions/serving/dispatch.py
+++ b/chervilrock/decisions/serving/dispatch.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from chervilrock.decisions.serving.effects import Command, Effect, Question
+from chervilrock.decisions.serving.effects import Command, Effect, StatusQuery
 from chervilrock.decisions.serving.orders import Order
 from chervilrock.decisions.serving.site import BackendServer
 
@@ -52,7 +52,7 @@
             return []
         self._querying.add(server.server)
         self._queried_at[server.server] = now
-        return [Question(server)]
+        return [StatusQuery(server)]
 
     def finish_order(self, server: str, order: Order) -> None:
         """Record that an order has ended, with or without an answer."""
--- a/chervilrock/decisions/serving/effects.py
+++ b/chervilrock/decisions/serving/effects.py
@@ -14,7 +14,7 @@
     order: Order
 
 
-class Question(NamedTuple):
+class StatusQuery(NamedTuple):
     """A query of a server's status."""
 
     server: BackendServer
@@ -30,11 +30,11 @@
     VERIFYING = "doubted"
     CONFIRMED = "confirmed"
     CLOSING = "closing"
-    CLEARING = "clearing"
+    DISSOLVING = "clearing"
     REMOVED = "gone"
 
 
-class GroupNote(NamedTuple):
+class GroupChange(NamedTuple):
     """A change of a group for the log.
 
     Attributes:
@@ -50,4 +50,4 @@
     reason: str
 
 
-Effect = Command | Question | GroupNote
+Effect = Command | StatusQuery | GroupChange
--- a/chervilrock/decisions/serving/forming.py
+++ b/chervilrock/decisions/serving/forming.py
@@ -1,9 +1,9 @@
 """Formation of groups, from the plan to the first request."""
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.doubts import QUERY_INTERVAL_S
+from chervilrock.decisions.serving.verification import QUERY_INTERVAL_S
 from chervilrock.decisions.serving.effects import Effect, GroupStep
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.orders import Join, Open, OrderReply
 from chervilrock.decisions.serving.plan import (
@@ -26,7 +26,7 @@
     """Orders hosts to join groups, and opens the groups that are ready."""
 
     def __init__(
-        self, *, board: GroupBoard, planner: Planner, term: int
+        self, *, registry: GroupRegistry, planner: Planner, term: int
     ) -> None:
         """Create the formation of groups in a term.
 
@@ -35,7 +35,7 @@
           planner: estimates the duration of loads, and limits their number.
           term: the term, from which the epochs are derived.
         """
-        self._board = board
+        self._registry = registry
         self._planner = planner
         self._term = term
         self._last_number = 0
@@ -49,19 +49,19 @@
     ) -> None:
         """Apply the answer to an order to join, None when there was none."""
         if reply is OrderReply.CONFLICT:
-            self._board.hosts.obeyed.pop(server, None)
+            self._registry.hosts.obeyed.pop(server, None)
         if reply is OrderReply.DONE:
             group.ready.add(server)
-            self._board.hosts.loaded[server] = group.model
+            self._registry.hosts.loaded[server] = group.model
         if reply in (OrderReply.STARTED, OrderReply.DONE):
             group.joined.add(server)
-            self._board.hosts.note_joined(server)
+            self._registry.hosts.note_joined(server)
             order = Join(group.name, group.epoch, group.model, group.members)
             delayed_until = max(group.due, now + QUERY_INTERVAL_S)
-            self._board.dispatcher.delay(server, order, delayed_until)
+            self._registry.dispatcher.delay(server, order, delayed_until)
         elif reply in (OrderReply.STALE, OrderReply.MISDIRECTED):
             reason = f"{server} refused to join: {reply.value}"
-            self._board.dissolve(group, reason, now)
+            self._registry.dissolve(group, reason, now)
 
     def handle_open_reply(
         self, group: ManagedGroup, reply: OrderReply | None, now: float
@@ -70,14 +70,14 @@
         if group.phase is not Phase.OPENING:
             return
         if reply in (OrderReply.STARTED, OrderReply.DONE):
-            engine = self._board.find_engine(group.service)
+            engine = self._registry.find_engine(group.service)
             form_s = 0.0 if engine is None else engine.form_s
             group.served_at = now + form_s
             group.joined.clear()
             group.enter(Phase.SERVING, now)
-            self._board.record_change(GroupStep.SERVING, group)
+            self._registry.record_change(GroupStep.SERVING, group)
         elif reply in (OrderReply.STALE, OrderReply.MISDIRECTED):
-            self._board.dissolve(
+            self._registry.dissolve(
                 group, f"its head refused to open: {reply.value}", now
             )
 
@@ -86,12 +86,12 @@
         if self._dissolve_unless_available(group, now):
             return []
         if now - group.due > FORM_TIMEOUT_S:
-            self._board.dissolve(group, "it was not ready in time", now)
+            self._registry.dissolve(group, "it was not ready in time", now)
             return []
         if group.ready.issuperset(group.members):
             phase = Phase.STANDBY if group.is_standby else Phase.OPENING
             group.enter(phase, now)
-            self._board.record_change(GroupStep.READY, group)
+            self._registry.record_change(GroupStep.READY, group)
             return [] if group.is_standby else self.open(group, now)
         effects: list[Effect] = []
         for server in group.members:
@@ -104,14 +104,14 @@
     ) -> bool:
         """Dissolve a group if a member is unavailable; return whether it is."""
         for server in group.members:
-            entry = self._board.hosts.servers.get(server)
+            entry = self._registry.hosts.servers.get(server)
             if entry is None or entry.is_leaving:
-                self._board.dissolve(group, f"{server} is gone or leaves", now)
+                self._registry.dissolve(group, f"{server} is gone or leaves", now)
                 return True
             if server not in group.joined and self._is_in_other_group(
                 group, server
             ):
-                self._board.dissolve(
+                self._registry.dissolve(
                     group, f"{server} is in another group", now
                 )
                 return True
@@ -119,7 +119,7 @@
 
     def _is_in_other_group(self, group: ManagedGroup, server: str) -> bool:
         """Return whether a server has reported that it is in another group."""
-        reported = self._board.hosts.find_reported_membership(server)
+        reported = self._registry.hosts.find_reported_membership(server)
         return reported is not None and reported.epoch != group.epoch
 
     def _order_join(
@@ -136,22 +136,22 @@
         executed.
         """
         join = Join(group.name, group.epoch, group.model, group.members)
-        if not self._board.hosts.needs_conditional_join(server):
-            return self._board.command(server, join, now)
-        obeyed = self._board.hosts.obeyed.get(server)
+        if not self._registry.hosts.needs_conditional_join(server):
+            return self._registry.command(server, join, now)
+        obeyed = self._registry.hosts.obeyed.get(server)
         if obeyed is None:
-            return self._board.query(server, QUERY_INTERVAL_S, now)
-        return self._board.command(server, join._replace(expected=obeyed), now)
+            return self._registry.query(server, QUERY_INTERVAL_S, now)
+        return self._registry.command(server, join._replace(expected=obeyed), now)
 
     def open(self, group: ManagedGroup, now: float) -> list[Effect]:
         """Return the effects for a group whose members are ready."""
         if self._dissolve_unless_available(group, now):
             return []
         if now - group.since > FORM_TIMEOUT_S:
-            self._board.dissolve(group, "its head did not open", now)
+            self._registry.dissolve(group, "its head did not open", now)
             return []
         group.may_be_open = True
-        return self._board.command(
+        return self._registry.command(
             group.head, Open(group.name, group.epoch), now
         )
 
@@ -210,9 +210,9 @@
         )
         group.due = now + expected_s
         for server in members:
-            self._board.hosts.loaded.pop(server, None)
-        self._board.groups[group.name] = group
-        self._board.record_change(
+            self._registry.hosts.loaded.pop(server, None)
+        self._registry.groups[group.name] = group
+        self._registry.record_change(
             GroupStep.PLANNED, group, f"ready in {expected_s:.1f} s"
         )
         return self.form(group, now)
@@ -222,9 +222,9 @@
 
         Its group can be removed at once, since it was never opened.
         """
-        for group in list(self._board.groups.values()):
+        for group in list(self._registry.groups.values()):
             if group.phase is Phase.STANDBY and group.head == server:
-                self._board.remove(group)
+                self._registry.remove(group)
 
     def _estimate_join_s(
         self, engine: EngineProfile, model: str, server: str
@@ -233,8 +233,8 @@
         shape = engine.models[model]
         host = FreeHost(
             server=server,
-            loaded=self._board.hosts.loaded.get(server, ""),
-            staged=self._board.hosts.servers[server].staged,
+            loaded=self._registry.hosts.loaded.get(server, ""),
+            staged=self._registry.hosts.servers[server].staged,
             is_standby=False,
         )
         warmth = host.find_warmth(model)
--- a/chervilrock/decisions/serving/groupboard.py
+++ b/chervilrock/decisions/serving/groupregistry.py
@@ -1,13 +1,13 @@
 """Registry of the groups that a leader manages, with their shared state."""
 
 from chervilrock.decisions.serving.dispatch import Dispatcher
-from chervilrock.decisions.serving.effects import Effect, GroupNote, GroupStep
+from chervilrock.decisions.serving.effects import Effect, GroupChange, GroupStep
 from chervilrock.decisions.serving.groups import (
     ManagedGroup,
     Phase,
     READY_STATES,
 )
-from chervilrock.decisions.serving.hosts import HostBook
+from chervilrock.decisions.serving.hosts import HostRegistry
 from chervilrock.decisions.serving.orders import Order
 from chervilrock.decisions.serving.site import (
     BackendServer,
@@ -17,7 +17,7 @@
 )
 
 
-class GroupBoard:
+class GroupRegistry:
     """Groups, hosts and orders of a leader, shared by its decisions.
 
     Attributes:
@@ -29,11 +29,11 @@
 
     def __init__(self) -> None:
         """Create an empty registry."""
-        self.hosts = HostBook()
+        self.hosts = HostRegistry()
         self.dispatcher = Dispatcher()
         self.groups: dict[str, ManagedGroup] = {}
         self.configuration: SiteConfiguration | None = None
-        self._changes: list[GroupNote] = []
+        self._changes: list[GroupChange] = []
 
     def find_engine(self, service: str) -> EngineProfile | None:
         """Return the engine profile of a service, None for a plain one."""
@@ -53,9 +53,9 @@
         self, step: GroupStep, group: ManagedGroup, reason: str = ""
     ) -> None:
         """Record a change of a group for the log."""
-        self._changes.append(GroupNote(step, group.name, group.members, reason))
+        self._changes.append(GroupChange(step, group.name, group.members, reason))
 
-    def take_changes(self) -> list[GroupNote]:
+    def take_changes(self) -> list[GroupChange]:
         """Return and clear the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
@@ -79,14 +79,14 @@
 
     def dissolve(self, group: ManagedGroup, reason: str, now: float) -> None:
         """Begin to dissolve a group."""
-        if group.phase is Phase.CLEARING:
+        if group.phase is Phase.DISSOLVING:
             return
-        group.enter(Phase.CLEARING, now, reason)
+        group.enter(Phase.DISSOLVING, now, reason)
         group.failures = {}
         group.awaited = set(group.members)
         for server in group.members:
             self.dispatcher.allow_resend(server)
-        self.record_change(GroupStep.CLEARING, group, reason)
+        self.record_change(GroupStep.DISSOLVING, group, reason)
 
     def remove(self, group: ManagedGroup) -> None:
         """Remove a group that was dissolved or a standby that has ended."""
--- a/chervilrock/decisions/serving/groups.py
+++ b/chervilrock/decisions/serving/groups.py
@@ -21,7 +21,7 @@
     OPENING = "opening"
     SERVING = "serving"
     CLOSING = "closing"
-    CLEARING = "clearing"
+    DISSOLVING = "clearing"
     STANDBY = "standby"
 
 
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -37,7 +37,7 @@
 is some hundred milliseconds old."""
 
 
-class Life(enum.Enum):
+class IncarnationOrder(enum.Enum):
     """How the incarnation in a message relates to the known one of its server.
 
     Attributes:
@@ -51,7 +51,7 @@
     FORMER = "former"
 
 
-class HostBook:
+class HostRegistry:
     """Registry of servers, their models, and which may join a group.
 
     Attributes:
@@ -71,7 +71,7 @@
         self.loaded: dict[str, str] = {}
         self.dissolved: set[tuple[str, int]] = set()
         self.obeyed: dict[str, int] = {}
-        self.last_new = float("-inf")
+        self.last_added_at = float("-inf")
         self.first_entry_at = float("inf")
         self.last_report_at = float("-inf")
         self._former: dict[str, BackendServer] = {}
@@ -100,12 +100,12 @@
             self._born[server] = born
         if not known or born in (known, 0):
             # A message without an incarnation does not contradict it.
-            return Life.SAME
+            return IncarnationOrder.SAME
         if born < known:
-            return Life.FORMER
+            return IncarnationOrder.FORMER
         self._born[server] = born
         self._forget(server)
-        return Life.NEW
+        return IncarnationOrder.NEW
 
     def _forget(self, server: str) -> None:
         """Reset all state of a server except that it exists."""
@@ -131,7 +131,7 @@
     ) -> Membership | None:
         """Apply the entry of a server and return its membership."""
         if entry.server not in self.servers:
-            self.last_new = now
+            self.last_added_at = now
         self.first_entry_at = min(self.first_entry_at, now)
         corrected = self._correct(entry)
         self.servers[entry.server] = corrected
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.serving.demand import Demand
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.orders import OrderReply, Stage
 from chervilrock.decisions.serving.plan import (
@@ -92,15 +92,15 @@
         loads take their full time.
     """
 
-    def __init__(self, *, board: GroupBoard) -> None:
+    def __init__(self, *, registry: GroupRegistry) -> None:
         """Create a planner.
 
         Args:
           board: groups and hosts, kept up to date by other components.
         """
-        self._board = board
-        self._hosts = board.hosts
-        self._groups = board.groups
+        self._registry = registry
+        self._hosts = registry.hosts
+        self._groups = registry.groups
         self._stagings = StagingBook()
         self._last_load: float | None = None
         self._query_times: dict[str, float] = {}
@@ -113,7 +113,7 @@
         """Return the actions to start for a service now."""
         if (
             not self.has_traffic
-            and now - self._hosts.last_new < REGISTRATION_SETTLE_S
+            and now - self._hosts.last_added_at < REGISTRATION_SETTLE_S
         ):
             return Plan()
         domains = self._hosts.list_domains(service, now)
@@ -331,7 +331,7 @@
         self, groups: Iterable[ManagedGroup], now: float
     ) -> tuple[PlacedGroup, ...]:
         """Return the groups of a domain that serve or are being formed."""
-        transitional = (Phase.CLOSING, Phase.CLEARING, Phase.STANDBY)
+        transitional = (Phase.CLOSING, Phase.DISSOLVING, Phase.STANDBY)
         placed = []
         for group in groups:
             if group.phase in transitional:
@@ -382,7 +382,7 @@
         for group in self._groups.values():
             if group.phase is Phase.STANDBY:
                 standby.update(group.members)
-            elif group.phase is Phase.CLEARING:
+            elif group.phase is Phase.DISSOLVING:
                 occupied.update(group.awaited)
             else:
                 occupied.update(group.members)
@@ -397,7 +397,7 @@
         """Return the hosts that are in no group, and the standby hosts."""
         free = []
         for host in hosts:
-            if host.server in occupied or self._board.is_unknown_member(host):
+            if host.server in occupied or self._registry.is_unknown_member(host):
                 continue
             is_standby = host.server in standby
             free.append(self._describe_host(host.server, is_standby=is_standby))
--- a/chervilrock/decisions/serving/doubts.py
+++ b/chervilrock/decisions/serving/verification.py
@@ -6,7 +6,7 @@
 """
 
 from chervilrock.decisions.serving.effects import Effect, GroupStep
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.hosts import UNRESPONSIVE_S
 from chervilrock.decisions.serving.orders import ServerReport
@@ -31,12 +31,12 @@
 """Time for which a verified group is not verified again."""
 
 
-class Doubts:
+class GroupVerifier:
     """Verifies groups by querying the status of their members."""
 
-    def __init__(self, *, board: GroupBoard) -> None:
+    def __init__(self, *, registry: GroupRegistry) -> None:
         """Create a verifier without groups to verify."""
-        self._board = board
+        self._registry = registry
         self._needs_reference = False
 
     def verify(
@@ -62,8 +62,8 @@
         group.failures_allowed = failures
         group.awaited = set(group.members)
         for server in group.members:
-            self._board.dispatcher.allow_query(server)
-        self._board.record_change(GroupStep.VERIFYING, group, reason)
+            self._registry.dispatcher.allow_query(server)
+        self._registry.record_change(GroupStep.VERIFYING, group, reason)
 
     def apply_report(
         self,
@@ -81,33 +81,33 @@
           now: present time.
         """
         if report is None:
-            queried_at = self._board.dispatcher.find_query_time(server, now)
-            if self._board.hosts.last_report_at < queried_at:
+            queried_at = self._registry.dispatcher.find_query_time(server, now)
+            if self._registry.hosts.last_report_at < queried_at:
                 # No server answered meanwhile, so this node may be slow or
                 # partitioned.
-                self._board.dispatcher.allow_query(server)
+                self._registry.dispatcher.allow_query(server)
                 self._needs_reference = True
                 return
             failures = group.failures.get(server, 0) + 1
             group.failures[server] = failures
-            self._board.dispatcher.allow_query(server)
+            self._registry.dispatcher.allow_query(server)
             if failures >= group.failures_allowed:
-                self._board.hosts.record_unresponsive(server, now)
-                self._board.dissolve(group, f"{server} does not answer", now)
+                self._registry.hosts.record_unresponsive(server, now)
+                self._registry.dissolve(group, f"{server} does not answer", now)
             return
         membership = report.membership
         if membership is None or membership.epoch != group.epoch:
-            self._board.dissolve(group, f"{server} is not a member", now)
+            self._registry.dissolve(group, f"{server} is not a member", now)
         elif membership.state is MemberState.BROKEN:
-            self._board.dissolve(group, f"{server} reports it broken", now)
+            self._registry.dissolve(group, f"{server} reports it broken", now)
         elif self._is_too_slow(group, server, report, now):
-            self._board.dissolve(group, f"{server} is slow", now)
+            self._registry.dissolve(group, f"{server} is slow", now)
         else:
             group.awaited.discard(server)
             if not group.awaited:
                 group.verifying_since = None
                 group.verified_until = now + VERIFIED_S
-                self._board.record_change(GroupStep.CONFIRMED, group)
+                self._registry.record_change(GroupStep.CONFIRMED, group)
 
     def _is_too_slow(
         self,
@@ -119,23 +119,23 @@
         """Return whether a member is so slow that its group is dissolved."""
         if report.pace >= UNUSABLE_TIME_FACTOR:
             return True
-        return self._board.hosts.is_slow(server, now) and self._has_standby(
+        return self._registry.hosts.is_slow(server, now) and self._has_standby(
             group, now
         )
 
     def _has_standby(self, group: ManagedGroup, now: float) -> bool:
         """Return whether a standby host can replace a member of a group."""
-        head = self._board.hosts.servers.get(group.head)
-        for standby in self._board.groups.values():
+        head = self._registry.hosts.servers.get(group.head)
+        for standby in self._registry.groups.values():
             if (
                 standby.phase is not Phase.STANDBY
                 or standby.model != group.model
             ):
                 continue
-            host = self._board.hosts.servers.get(standby.head)
+            host = self._registry.hosts.servers.get(standby.head)
             if host is None or head is None or host.domain != head.domain:
                 continue
-            if not self._board.hosts.is_slow(standby.head, now):
+            if not self._registry.hosts.is_slow(standby.head, now):
                 return True
         return False
 
@@ -148,9 +148,9 @@
         if not self._needs_reference:
             return []
         self._needs_reference = False
-        for group in self._board.groups.values():
+        for group in self._registry.groups.values():
             if group.phase is Phase.SERVING and group.verifying_since is None:
-                return self._board.query(group.head, QUERY_INTERVAL_S, now)
+                return self._registry.query(group.head, QUERY_INTERVAL_S, now)
         return []
 
     def contradicts(
--- a/chervilrock/edges/serving/callers.py
+++ b/chervilrock/edges/serving/callers.py
@@ -52,7 +52,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def note_silent(self, request_ids: tuple[str, ...], now: float) -> int:
+    def record_stall(self, request_ids: tuple[str, ...], now: float) -> int:
         """Move streams away from a group that has stopped.
 
         Returns:
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -291,7 +291,7 @@
             return
         self._task.note_silence(endpoint.group, now)
         streams = tuple(watch.list_streams())
-        moved = self._callers.note_silent(streams, now)
+        moved = self._callers.record_stall(streams, now)
         if moved or not watch.is_reported:
             watch.is_reported = True
             emit(
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -12,8 +12,8 @@
 from chervilrock.decisions.serving.effects import (
     Command,
     Effect,
-    GroupNote,
-    Question,
+    GroupChange,
+    StatusQuery,
 )
 from chervilrock.decisions.serving.entries import NewestEntries
 from chervilrock.decisions.serving.leadership import (
@@ -131,9 +131,9 @@
         """Apply another configuration to the groups."""
         self._controller.set_configuration(configuration)
 
-    def note_silent(self, group: str, now: float) -> None:
+    def record_stall(self, group: str, now: float) -> None:
         """Record that streams of a group have stalled on some node."""
-        self._controller.note_silent(group, now)
+        self._controller.record_stall(group, now)
 
     def note_limit(self, server: str, rate: float | None) -> None:
         """Record the rate limit that a server sent to a node, None for none."""
@@ -276,7 +276,7 @@
         if state.has_traffic:
             self._controller.note_traffic()
         for group in summary.silent:
-            self._controller.note_silent(group, now)
+            self._controller.record_stall(group, now)
 
     def _update_node_list(self, summary: Summary) -> None:
         """Update the list of the nodes that take callers if it has changed."""
@@ -295,7 +295,7 @@
 
     def _execute(self, effect: Effect) -> None:
         match effect:
-            case GroupNote():
+            case GroupChange():
                 emit(
                     Event.GROUP_CHANGED,
                     group=effect.group,
@@ -305,7 +305,7 @@
                 )
             case Command():
                 self._outbound.order(effect)
-            case Question():
+            case StatusQuery():
                 self._outbound.query_status(effect.server)
 
     def _count_hosts(self, now: float) -> None:
@@ -337,11 +337,11 @@
         """Create a new view if any of its content has changed."""
         controller = self._controller
         state = self._state
-        if not controller.has_looked(now):
+        if not controller.has_adopted_groups(now):
             return
         groups = controller.list_groups(now)
         servers = controller.list_servers()
-        forming = controller.list_forming()
+        forming = controller.list_forming_models()
         limits = self._list_limits(groups, servers, now)
         view = state.view
         is_same = (view.groups, view.servers, view.forming, view.limits) == (
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -177,7 +177,7 @@
             return
         self._state.avoid(group, now)
         if self._leader_role is not None:
-            self._leader_role.note_silent(group, now)
+            self._leader_role.record_stall(group, now)
             return
         leader = self._find_leader()
         if leader is not None:
@@ -373,7 +373,7 @@
                     self._leader_role.note_limit(message.server, message.rate)
             case SilenceSeen():
                 if self._leader_role is not None:
-                    self._leader_role.note_silent(message.group, now)
+                    self._leader_role.record_stall(message.group, now)
 
     def _note_store_answer(self, topic: Topic, now: float) -> None:
         """Record an answer of the store to a call for a topic."""
--- a/test/decisions/serving/fleet.py
+++ b/test/decisions/serving/fleet.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from chervilrock.decisions.serving.controller import Controller
-from chervilrock.decisions.serving.effects import Command, Question
+from chervilrock.decisions.serving.effects import Command, StatusQuery
 from chervilrock.decisions.serving.orders import (
     Close,
     Join,
@@ -328,7 +328,7 @@
     def _carry_out(self, effect: object) -> None:
         if isinstance(effect, Command):
             self._send_command(effect)
-        elif isinstance(effect, Question):
+        elif isinstance(effect, StatusQuery):
             name = effect.server.server
             server = self.servers[name]
             is_lost = server.is_dead or server.is_unreachable
--- a/test/decisions/serving/test_controller.py
+++ b/test/decisions/serving/test_controller.py
@@ -18,7 +18,7 @@
 from chervilrock.decisions.serving import groupnames
 from chervilrock.decisions.serving.census import HostState
 from chervilrock.decisions.serving.groups import ManagedGroup
-from chervilrock.decisions.serving.hosts import HostBook, Life
+from chervilrock.decisions.serving.hosts import HostRegistry, IncarnationOrder
 from chervilrock.decisions.serving.orders import (
     Join,
     Open,
@@ -87,7 +87,7 @@
     before = fleet.serving()
     fleet.kill(members[2])
     fleet.run(0.35)
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     fleet.run(0.3)
     assert_that(fleet.serving(), Not(Equals(before)))
     assert_that(run_until_serving(fleet, before), LessThan(0.65))
@@ -101,7 +101,7 @@
     for server in fleet.servers.values():
         server.is_unreachable = True
     for group in before:
-        fleet.controller.note_silent(group.group, fleet.now)
+        fleet.controller.record_stall(group.group, fleet.now)
     fleet.run(3.0)
     assert_that(fleet.controller.list_groups(fleet.now) == before, Is(True))
 
@@ -117,7 +117,7 @@
         if server.domain == "d1":
             fleet.kill(name, entry_s=9.0)
     for group in unresponsive:
-        fleet.controller.note_silent(group, fleet.now)
+        fleet.controller.record_stall(group, fleet.now)
     fleet.run(1.5)
     left = {
         endpoint.group for endpoint in fleet.controller.list_groups(fleet.now)
@@ -151,7 +151,7 @@
 
 def test_a_group_that_is_only_slow_is_kept(fleet: Fleet) -> None:
     before = fleet.controller.list_groups(fleet.now)
-    fleet.controller.note_silent(before[0].group, fleet.now)
+    fleet.controller.record_stall(before[0].group, fleet.now)
     fleet.run(2.0)
     assert_that(fleet.controller.list_groups(fleet.now), Equals(before))
 
@@ -160,7 +160,7 @@
     before = fleet.serving()
     members = find_group(fleet, "large")
     fleet.servers[members[1]].time_factor = 5.0
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     fleet.run(1.2)
     assert_that(fleet.serving(), Equals(before))
     used = {
@@ -183,7 +183,7 @@
     before = fleet.controller.list_groups(fleet.now)
     members = find_group(fleet, "large")
     fleet.servers[members[1]].time_factor = 5.0
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     fleet.run(1.2)
     assert_that(fleet.controller.list_groups(fleet.now) == before, Is(True))
 
@@ -196,7 +196,7 @@
     members = find_group(fleet, "large")
     name = find_name(fleet, members[0])
     fleet.servers[members[1]].time_factor = 12.0
-    fleet.controller.note_silent(name, fleet.now)
+    fleet.controller.record_stall(name, fleet.now)
     fleet.run(0.5)
     groups = [
         endpoint.group for endpoint in fleet.controller.list_groups(fleet.now)
@@ -221,7 +221,7 @@
     ]
     for name in (members[1], *standby):
         fleet.servers[name].time_factor = 12.0
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     fleet.run(3.0)
     used = {
         name
@@ -268,7 +268,7 @@
     after = [
         endpoint.group for endpoint in fleet.controller.list_groups(fleet.now)
     ]
-    assert_that(fleet.controller.has_looked(fleet.now), Is(True))
+    assert_that(fleet.controller.has_adopted_groups(fleet.now), Is(True))
     assert_that(after, Equals(before))
 
 
@@ -360,7 +360,7 @@
         action = generator.random()
         if action < 0.5:
             fleet.kill(victim.server)
-            fleet.controller.note_silent(
+            fleet.controller.record_stall(
                 find_name(fleet, victim.server), fleet.now
             )
         elif action < 0.7:
@@ -409,11 +409,11 @@
 
 
 def test_incarnations_of_a_server_are_ordered() -> None:
-    hosts = HostBook()
+    hosts = HostRegistry()
     relations = [
         hosts.record_incarnation("h", born) for born in (0, 5, 5, 0, 5, 7, 5, 7)
     ]
-    same, new, former = Life.SAME, Life.NEW, Life.FORMER
+    same, new, former = IncarnationOrder.SAME, IncarnationOrder.NEW, IncarnationOrder.FORMER
     assert_that(
         relations, Equals([same, same, same, same, same, new, former, same])
     )
@@ -428,7 +428,7 @@
     group_name = find_name(fleet, members[0])
     epoch = fleet.servers[members[0]].highest_epoch
     fleet.servers[members[0]].is_unreachable = True
-    fleet.controller.note_silent(group_name, fleet.now)
+    fleet.controller.record_stall(group_name, fleet.now)
     while fleet.servers[members[1]].membership is not None:
         fleet.run(0.05)
     fleet.obey(members[1], Join(group_name, epoch, "large", members))
@@ -472,7 +472,7 @@
         and fleet.servers[endpoint.server].domain == "d0"
     )
     fleet.kill(fleet.servers[lost].members[1])
-    fleet.controller.note_silent(find_name(fleet, lost), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, lost), fleet.now)
     fleet.run(5.0)
     assert_that(fleet.violations, HasLength(0))
 
@@ -501,7 +501,7 @@
     # Its entry remains for five seconds after its last answer.
     members = find_group(fleet, "large")
     fleet.kill(members[2], entry_s=5.0)
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     fleet.run(1.0)
     planned: set[str] = set()
     for _ in range(19):
@@ -535,7 +535,7 @@
         and fleet.servers[endpoint.server].domain == domain
     )
     fleet.kill(members[1])
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     while fleet.serving() == before:
         fleet.run(0.05)
     assert_that(run_until_serving(fleet, before), LessThan(1.0))
@@ -556,7 +556,7 @@
         Equals(24),
     )
     fleet.kill(members[2])
-    fleet.controller.note_silent(find_name(fleet, members[0]), fleet.now)
+    fleet.controller.record_stall(find_name(fleet, members[0]), fleet.now)
     fleet.run(0.3)
     after = {
         counts.model: counts
@@ -601,9 +601,9 @@
     """Return how often one step iterates over all groups."""
     fleet = Fleet(domains=domains, hosts=8, seed=1)
     fleet.run(6.0)
-    board = fleet.controller._board
-    groups = CountingGroups(board.groups)
-    board.groups = groups
+    registry = fleet.controller._registry
+    groups = CountingGroups(registry.groups)
+    registry.groups = groups
     fleet.controller._planner._groups = groups
     fleet.controller.step(fleet.now + 0.05)
     return groups.iterations
--- a/test/decisions/serving/test_worn_fleet.py
+++ b/test/decisions/serving/test_host_losses.py
@@ -28,7 +28,7 @@
     for group in fleet.controller.list_groups(fleet.now):
         members = fleet.servers[group.server].members
         if any(fleet.servers[name].is_dead for name in members):
-            fleet.controller.note_silent(group.group, fleet.now)
+            fleet.controller.record_stall(group.group, fleet.now)
 
 
 def run_losses(seed: int, seconds: float) -> dict[str, float]:
--- a/test/decisions/serving/test_planning.py
+++ b/test/decisions/serving/test_planning.py
@@ -4,14 +4,14 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Is
 
-from chervilrock.decisions.serving.groupboard import GroupBoard
+from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.planning import Planner
 from test.decisions.serving.fleet import ENGINE
 
 
 def make_planner() -> Planner:
     """Return the planner of a new leader while callers send requests."""
-    planner = Planner(board=GroupBoard())
+    planner = Planner(registry=GroupRegistry())
     planner.has_traffic = True
     return planner
 
