--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -289,7 +289,7 @@
         )
         if not watch.is_stalled(limits, now):
             return
-        self._task.note_silence(endpoint.group, now)
+        self._task.report_stall(endpoint.group, now)
         streams = tuple(watch.list_streams())
         moved = self._callers.record_stall(streams, now)
         if moved or not watch.is_stall_logged:
@@ -354,7 +354,7 @@
         announcement = decode_announcement(body)
         if announcement is None:
             return Reply(status=400)
-        answer = self._task.take_announcement(announcement, now)
+        answer = self._task.handle_announcement(announcement, now)
         return Reply(status=200, body=msgspec.json.encode(answer))
 
     def _answer_ends(self, body: bytes, now: float) -> Reply:
--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -29,7 +29,7 @@
         *,
         store: KeyedStore,
         topic: Topic,
-        choose_pace: Callable[[], Pace],
+        choose_schedule: Callable[[], Pace],
         outbox: Outbox[Message],
     ) -> None:
         """Create a follower that has read nothing.
@@ -44,7 +44,7 @@
         self._topic = topic
         self._outbox = outbox
         self._retry_s = FIRST_RETRY_S
-        self._choose_schedule = choose_pace
+        self._choose_schedule = choose_schedule
         self._position: int | None = None
         self._era = 0
         self.has_failed = False
@@ -106,7 +106,7 @@
         self._retry_s = min(2 * self._retry_s, self._choose_schedule().retry_s)
 
 
-class Following:
+class FollowerTask:
     """Runs a topic follower, which can be restarted, paused and resumed."""
 
     def __init__(
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -52,7 +52,7 @@
 servers that still run write them again within two seconds."""
 
 
-class Leading:
+class LeaderRole:
     """One term of this node as the leader.
 
     Attributes:
--- a/chervilrock/tasks/serving/limitreports.py
+++ b/chervilrock/tasks/serving/limitreports.py
@@ -1,7 +1,7 @@
 """Reports to the leader of the rate limits that servers return."""
 
 from chervilrock.decisions.serving.view import NodeEntry
-from chervilrock.tasks.serving.leading import Leading
+from chervilrock.tasks.serving.leading import LeaderRole
 from chervilrock.tasks.serving.messages import LimitHeard
 from chervilrock.tasks.serving.outbound import Outbound
 from chervilrock.tasks.serving.state import ServingState
@@ -26,7 +26,7 @@
         self._reported_at = float("-inf")
 
     def act(
-        self, now: float, *, leading: Leading | None, leader: NodeEntry | None
+        self, now: float, *, leading: LeaderRole | None, leader: NodeEntry | None
     ) -> None:
         """Report the limits that the leader has not announced, if due.
 
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -37,7 +37,7 @@
 from chervilrock.events import emit, Event
 from chervilrock.tasks.clock import read_clock
 from chervilrock.tasks.mailbox import Mailbox
-from chervilrock.tasks.serving.leading import Leading
+from chervilrock.tasks.serving.leading import LeaderRole
 from chervilrock.tasks.serving.limitreports import LimitReports
 from chervilrock.tasks.serving.messages import (
     ClaimAnswered,
@@ -108,7 +108,7 @@
         self._leadership = Leadership(
             node=own.node, incarnation=own.incarnation, now=now
         )
-        self._leader_role: Leading | None = None
+        self._leader_role: LeaderRole | None = None
         self._entries = NewestEntries()
         self._revisions = RevisionWatch()
         self._announcing_leader: NodeEntry | None = None
@@ -171,7 +171,7 @@
         """Whether this node forwards announcements of the leader."""
         return self._relay.is_active(read_clock())
 
-    def note_silence(self, group: str, now: float) -> None:
+    def report_stall(self, group: str, now: float) -> None:
         """Report to the leader at once that streams of a group have stalled."""
         if self._state.is_doubted(group, now):
             return
@@ -183,7 +183,7 @@
         if leader is not None:
             self._outbound.tell_silence(leader, group)
 
-    def take_announcement(
+    def handle_announcement(
         self, announcement: Announcement, now: float
     ) -> Acknowledgement:
         """Apply an announcement of a leader and return its acknowledgement."""
@@ -763,7 +763,7 @@
         """Start to lead, or continue in a new term after a restored backup."""
         was_leading = self._leader_role is not None
         self._stop_leading()
-        self._leader_role = Leading(
+        self._leader_role = LeaderRole(
             term=term,
             state=self._state,
             store=self._reads.store,
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -33,7 +33,7 @@
 )
 from chervilrock.events import emit, Event
 from chervilrock.tasks.mailbox import Outbox
-from chervilrock.tasks.serving.follower import Following, TopicFollower
+from chervilrock.tasks.serving.follower import FollowerTask, TopicFollower
 from chervilrock.tasks.serving.messages import (
     ClaimAnswered,
     DocumentRead,
@@ -122,8 +122,8 @@
             task.cancel()
 
     def follow(
-        self, topic: Topic, choose_pace: Callable[[], Pace]
-    ) -> Following:
+        self, topic: Topic, choose_schedule: Callable[[], Pace]
+    ) -> FollowerTask:
         """Start to follow a topic of the store.
 
         The function is called before each read and returns the polling
@@ -132,10 +132,10 @@
         follower = TopicFollower(
             store=self._ports.store,
             topic=topic,
-            choose_pace=choose_pace,
+            choose_schedule=choose_schedule,
             outbox=self._outbox,
         )
-        return Following(follower=follower, start=self._start)
+        return FollowerTask(follower=follower, start=self._start)
 
     def register(self, own: NodeEntry) -> None:
         """Write the record of this node to the store."""
--- a/chervilrock/tasks/serving/reads.py
+++ b/chervilrock/tasks/serving/reads.py
@@ -13,7 +13,7 @@
 from chervilrock.decisions.serving.storewatch import StoreWatch
 from chervilrock.events import emit, Event
 from chervilrock.tasks.serving.dependency import Dependency
-from chervilrock.tasks.serving.follower import Following
+from chervilrock.tasks.serving.follower import FollowerTask
 from chervilrock.tasks.serving.messages import ReadFailed
 from chervilrock.tasks.serving.outbound import Outbound
 
@@ -49,7 +49,7 @@
         self._dependencies = {
             topic: _make_dependency(topic, now) for topic in Topic
         }
-        self._follower_tasks: dict[Topic, Following] = {}
+        self._follower_tasks: dict[Topic, FollowerTask] = {}
 
     def start(self) -> None:
         """Start to read the configuration, nodes and leadership claims."""
--- a/test/tasks/crashing_requests.py
+++ b/test/tasks/crashing_requests.py
@@ -47,14 +47,14 @@
 
     async def attempt(self, address: str) -> None:
         """Make an attempt at a node and wait for its outcome."""
-        member = self._site.members[address]
+        member = self._site.running_nodes[address]
         suspicion = member.task.suspicion
         loop = self._site.loop
         expires = loop.time() + CALLER_TIMEOUT_S
         min_crashes = MAX_CRASHES
         for _ in range(MAX_SENDS_PER_ATTEMPT):
             await suspicion.wait_for_verdict(self.content, min_crashes, expires)
-            if address not in self._site.members:
+            if address not in self._site.running_nodes:
                 return
             if member.state.suspects.find_withheld(self.content) is not None:
                 self.withheld_attempts += 1
@@ -70,7 +70,7 @@
         server = f"{self.content}-{len(self.sends)}"
         self._site.crashed_servers.add(server)
         self.sends.append(CrashingSend(address, sent_at, loop.time()))
-        member = self._site.members.get(address)
+        member = self._site.running_nodes.get(address)
         if member is None:
             return
         broken = BrokenSend(
@@ -84,7 +84,7 @@
 
     async def attempt_everywhere(self) -> None:
         """Make an attempt at each node at the same time."""
-        addresses = list(self._site.members)
+        addresses = list(self._site.running_nodes)
         await asyncio.gather(*(self.attempt(address) for address in addresses))
 
     def count_excess_sends(self) -> int:
@@ -107,5 +107,5 @@
 ) -> None:
     """Make attempts at random nodes, one after the other."""
     for _ in range(attempts):
-        await request.attempt(generator.choice(sorted(site.members)))
+        await request.attempt(generator.choice(sorted(site.running_nodes)))
         await asyncio.sleep(generator.uniform(0.0, 2 * mean_pause_s))
--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -89,7 +89,7 @@
 
     def __init__(self) -> None:
         self.era = 0
-        self.newest_s: dict[Topic, float] = {}
+        self.fetch_newest_s: dict[Topic, float] = {}
         self._times: dict[Topic, list[float]] = {topic: [] for topic in Topic}
         self.topics: dict[Topic, list[KeyedRecord]] = {
             topic: [] for topic in Topic
@@ -128,7 +128,7 @@
         self._broken = asyncio.Event()
         self.calls = 0
 
-    def begin(self, fault: Fault) -> None:
+    def begin_fault(self, fault: Fault) -> None:
         """Begin a fault that affects pending and later calls."""
         self._fault = fault
         self._broken.set()
@@ -181,7 +181,7 @@
             broken.cancel()
 
     async def _list_newest(self, topic: Topic) -> KeyedPage:
-        await asyncio.sleep(self._store.newest_s.get(topic, STORE_S))
+        await asyncio.sleep(self._store.fetch_newest_s.get(topic, STORE_S))
         records = self._store.topics[topic]
         newest = {record.key: record for record in records}
         return KeyedPage(
@@ -236,11 +236,11 @@
     """Calls other nodes; a killed or partitioned one does not answer."""
 
     def __init__(
-        self, *, members: dict[str, RunningNode], own: str, parted: set[str]
+        self, *, running_nodes: dict[str, RunningNode], own: str, partitioned: set[str]
     ) -> None:
-        self._running_nodes = members
+        self._running_nodes = running_nodes
         self._own = own
-        self._partitioned = parted
+        self._partitioned = partitioned
 
     async def request(self, method: str, url: str, **options: Any) -> Any:
         del method
@@ -269,7 +269,7 @@
             announcement = decode_announcement(gzip.decompress(options["body"]))
             assert announcement is not None
             now = asyncio.get_running_loop().time()
-            answer = node.task.take_announcement(announcement, now)
+            answer = node.task.handle_announcement(announcement, now)
             body = msgspec.json.encode(answer)
         await asyncio.sleep(LINK_S)
         return Success(HttpAnswer(200, body, 0.0, False))
@@ -301,9 +301,9 @@
         monkeypatch.setattr(node_module, "read_clock", self.loop.time)
         monkeypatch.setattr(suspicion_module, "read_clock", self.loop.time)
         self.crashed_servers: set[str] = set()
-        self.parted: set[str] = set()
+        self.partitioned: set[str] = set()
         self.store = Store()
-        self.members: dict[str, RunningNode] = {}
+        self.running_nodes: dict[str, RunningNode] = {}
         self.failures: list[BaseException | None] = []
         self.generator = random.Random(seed)
         self._entry = STAYING
@@ -315,16 +315,16 @@
             asyncio.ensure_future(self._watch_revisions()),
         ]
 
-    async def start(self, *, nodes: int, places: int) -> None:
+    async def start(self, *, nodes: int, data_centres: int) -> None:
         """Start nodes shortly after each other; wait until one leads."""
-        self.change(1)
+        self.confirm_revision(1)
         for number in range(nodes):
-            self.add(f"n{number:02}", f"p{number % places}")
+            self.add(f"n{number:02}", f"p{number % data_centres}")
             await asyncio.sleep(self.generator.uniform(0.0, 0.02))
         await asyncio.sleep(5.0)
         assert self.find_leader() is not None
 
-    def change(self, revision: int) -> None:
+    def confirm_revision(self, revision: int) -> None:
         """Write a revision to the store as the operator."""
         value = str(revision).encode()
         self.store.append(Topic.CONFIGURATION, "config", value)
@@ -339,31 +339,31 @@
         """Return whether no node has the leaving server in its view."""
         return all(
             node.state.view.sequence and not node.state.view.servers
-            for node in self.members.values()
+            for node in self.running_nodes.values()
         )
 
     def find_leader(self) -> str | None:
-        for address, node in self.members.items():
+        for address, node in self.running_nodes.items():
             if node.task.is_leader:
                 return address
         return None
 
     def kill(self, address: str) -> None:
         """Stop a node, which no other node can reach any more."""
-        self.members.pop(address).running.cancel()
+        self.running_nodes.pop(address).running.cancel()
 
-    def begin(self, fault: Fault, addresses: Iterable[str] = ()) -> None:
+    def begin_fault(self, fault: Fault, addresses: Iterable[str] = ()) -> None:
         """Begin a fault of the store for some nodes, or for all."""
-        for address in addresses or self.members:
-            self.members[address].connection.begin(fault)
+        for address in addresses or self.running_nodes:
+            self.running_nodes[address].connection.begin_fault(fault)
 
     def end_fault(self) -> None:
         """End the faults of all nodes."""
-        for node in self.members.values():
+        for node in self.running_nodes.values():
             node.connection.end_fault()
 
     def count_calls(self) -> int:
-        return sum(node.connection.calls for node in self.members.values())
+        return sum(node.connection.calls for node in self.running_nodes.values())
 
     async def wait_until(self, condition: Callable[[], bool], limit_s: float) -> None:
         """Wait until a condition holds or the time limit has passed."""
@@ -386,13 +386,13 @@
             self._in_force.get((address, revision), float("inf"))
             - max(confirmed, since)
             for revision, confirmed in self._confirmed.items()
-            for address in self.members
+            for address in self.running_nodes
         )
 
     async def stop(self) -> None:
         tasks = [
             *self._background_tasks,
-            *(node.running for node in self.members.values()),
+            *(node.running for node in self.running_nodes.values()),
         ]
         for task in tasks:
             task.cancel()
@@ -416,7 +416,7 @@
         )
         connection = StoreConnection(store=self.store)
         client: Any = PeerClient(
-            members=self.members, own=name, parted=self.parted
+            running_nodes=self.running_nodes, own=name, partitioned=self.partitioned
         )
         unused: Any = None
         task = NodeTask(
@@ -434,7 +434,7 @@
         )
         running = asyncio.ensure_future(task.run())
         running.add_done_callback(self._collect_failure)
-        self.members[name] = RunningNode(task, state, connection, running)
+        self.running_nodes[name] = RunningNode(task, state, connection, running)
 
     async def _write_heartbeats(self) -> None:
         while True:
@@ -445,7 +445,7 @@
         """Record when each node has each revision or a later one."""
         while True:
             now = self.loop.time()
-            for address, node in self.members.items():
+            for address, node in self.running_nodes.items():
                 for revision in self._confirmed:
                     if revision <= node.state.revision:
                         self._in_force.setdefault((address, revision), now)
--- a/test/tasks/sweep_crashes.py
+++ b/test/tasks/sweep_crashes.py
@@ -55,7 +55,7 @@
 async def _run_in_installation(
     site: Installation, nodes: int, fault: CrashFault, generator: random.Random
 ) -> Result:
-    await site.start(nodes=nodes, places=DATA_CENTRES)
+    await site.start(nodes=nodes, data_centres=DATA_CENTRES)
     await asyncio.sleep(generator.uniform(3.0, 4.0))
     request = CrashingRequest(site=site, content=CONTENT)
     attempts_task = asyncio.ensure_future(
@@ -82,11 +82,11 @@
 def _inject_fault(site: Installation, fault: CrashFault) -> None:
     leader = site.find_leader()
     if fault in (CrashFault.STORE, CrashFault.BOTH):
-        site.begin(Fault.SILENT)
+        site.begin_fault(Fault.SILENT)
     if fault in (CrashFault.LEADER, CrashFault.BOTH) and leader is not None:
         site.kill(leader)
     if fault is CrashFault.RELAYS:
-        for address, member in list(site.members.items()):
+        for address, member in list(site.running_nodes.items()):
             if member.task.is_relay:
                 site.kill(address)
 
@@ -94,7 +94,7 @@
 def _is_withheld_everywhere(site: Installation) -> bool:
     return all(
         member.state.suspects.find_withheld(CONTENT) is not None
-        for member in site.members.values()
+        for member in site.running_nodes.values()
     )
 
 
--- a/test/tasks/sweep_copies.py
+++ b/test/tasks/sweep_restores.py
@@ -16,7 +16,7 @@
 
 from chervilrock.clients.serving import Topic
 from test.tasks.installation import Fault, Installation
-from test.tasks.test_store_copies import is_led_by_one, list_leaders
+from test.tasks.test_store_restores import is_led_by_one, list_leaders
 from test.tasks.virtual_time import run_virtually
 
 DATA_CENTRES = 3
@@ -57,7 +57,7 @@
 
     async def play(self) -> Result:
         draw = self._generator
-        await self._site.start(nodes=self._nodes, places=DATA_CENTRES)
+        await self._site.start(nodes=self._nodes, data_centres=DATA_CENTRES)
         await asyncio.sleep(draw.uniform(0.0, 12.0))
         for _ in range(draw.randint(0, 4)):
             self._change_something()
@@ -69,7 +69,7 @@
         records = {
             record.key for record in self._site.store.topics[Topic.NODES]
         }
-        wanted = {f"node/{name}" for name in self._site.members}
+        wanted = {f"node/{name}" for name in self._site.running_nodes}
         is_recovered = is_led_by_one(self._site) and wanted <= records
         await self._site.stop()
         return Result(self.led_s, self.revision_s, is_recovered)
@@ -87,24 +87,24 @@
 
     def _kill_leader(self) -> None:
         leaders = list_leaders(self._site)
-        if leaders and len(self._site.members) > DATA_CENTRES:
+        if leaders and len(self._site.running_nodes) > DATA_CENTRES:
             self._site.kill(leaders[0])
 
     def _confirm(self) -> None:
         self._revision += 1
-        self._site.change(self._revision)
+        self._site.confirm_revision(self._revision)
 
     def _restart_all(self) -> None:
-        members = list(self._site.members.items())
-        for address, _ in members:
+        running_nodes = list(self._site.running_nodes.items())
+        for address, _ in running_nodes:
             self._site.kill(address)
-        for address, member in members:
+        for address, member in running_nodes:
             self._site.add(address, member.state.own.data_centre)
 
     async def _restore_store(self) -> None:
         draw = self._generator
         site = self._site
-        site.begin(draw.choice(list(Fault)))
+        site.begin_fault(draw.choice(list(Fault)))
         outage_s = draw.uniform(0.05, LONGEST_OUTAGE_S)
         await asyncio.sleep(outage_s)
         site.store.restore(outage_s + draw.uniform(0.0, OLDEST_BACKUP_S))
@@ -115,8 +115,8 @@
         if draw.random() < 0.2:
             self._restart_all()
         if draw.random() < 0.3:
-            rejected = sorted(site.members)[::2]
-            site.begin(Fault.BUSY, rejected)
+            rejected = sorted(site.running_nodes)[::2]
+            site.begin_fault(Fault.BUSY, rejected)
             await asyncio.sleep(draw.uniform(0.0, LONGEST_OUTAGE_S))
             site.end_fault()
         await asyncio.sleep(draw.uniform(0.0, 1.0))
@@ -131,7 +131,7 @@
     def _has_revision(self) -> bool:
         return all(
             member.state.revision >= self._revision
-            for member in self._site.members.values()
+            for member in self._site.running_nodes.values()
         )
 
 
--- a/test/tasks/test_resting_nodes.py
+++ b/test/tasks/test_resting_nodes.py
@@ -23,14 +23,14 @@
 
 async def start(monkeypatch, nodes: int = NODES) -> Installation:
     site = Installation(monkeypatch=monkeypatch, seed=nodes)
-    await site.start(nodes=nodes, places=DATA_CENTRES)
+    await site.start(nodes=nodes, data_centres=DATA_CENTRES)
     await asyncio.sleep(5.0)
     return site
 
 
 def list_readers(site: Installation, data_centre: str) -> list[str]:
     """Return the addresses of the designated readers of a data centre."""
-    nodes = [member.state.own for member in site.members.values()]
+    nodes = [member.state.own for member in site.running_nodes.values()]
     return [
         reader.peer_address for reader in list_designated(data_centre, nodes)
     ]
@@ -38,7 +38,7 @@
 
 async def change_and_measure(site: Installation) -> float:
     """Confirm a revision; return the longest delay until it is in force."""
-    site.change(2)
+    site.confirm_revision(2)
     await site.wait_until(site.is_in_force, 10.0)
     lateness_s = site.find_lateness(0.0)
     await site.stop()
@@ -51,7 +51,7 @@
         before = site.count_calls()
         for revision in range(2, 8):
             await asyncio.sleep(IDLE_S / 6)
-            site.change(revision)
+            site.confirm_revision(revision)
         calls = site.count_calls() - before
         await site.stop()
         return calls
@@ -76,7 +76,7 @@
         site = await start(monkeypatch)
         leader = site.find_leader()
         assert leader is not None
-        own_data_centre = site.members[leader].state.own.data_centre
+        own_data_centre = site.running_nodes[leader].state.own.data_centre
         data_centre = next(
             f"p{number}"
             for number in range(DATA_CENTRES)
@@ -116,7 +116,7 @@
         site = await start(monkeypatch)
         site.add("n99", "p1")
         await asyncio.sleep(3.0)
-        known = [len(member.state.nodes) for member in site.members.values()]
+        known = [len(member.state.nodes) for member in site.running_nodes.values()]
         await site.stop()
         return known
 
@@ -141,7 +141,7 @@
     async def measure() -> float:
         site = await start(monkeypatch, LARGE_NODES)
         leader = site.find_leader()
-        for address in sorted(site.members):
+        for address in sorted(site.running_nodes):
             site.kill(address)
         await asyncio.sleep(1.0)
         started_at = site.loop.time()
@@ -150,8 +150,8 @@
         leaderless_s = site.loop.time() - started_at
         await starting
         await asyncio.sleep(3.0)
-        known = {len(member.state.nodes) for member in site.members.values()}
-        assert_that(known, Equals({len(site.members)}))
+        known = {len(member.state.nodes) for member in site.running_nodes.values()}
+        assert_that(known, Equals({len(site.running_nodes)}))
         await site.stop()
         return leaderless_s
 
@@ -176,10 +176,10 @@
         leader = site.find_leader()
         assert leader is not None
         names = [f"n{number:02}" for number in range(NODES)]
-        for address in sorted(site.members):
+        for address in sorted(site.running_nodes):
             site.kill(address)
         await asyncio.sleep(1.0)
-        site.store.newest_s[Topic.CONFIGURATION] = 0.05
+        site.store.fetch_newest_s[Topic.CONFIGURATION] = 0.05
         others = [name for name in names if name != leader]
         started_at = site.loop.time()
         for name in (*others[:2], leader):
--- a/test/tasks/test_store_outages.py
+++ b/test/tasks/test_store_outages.py
@@ -93,18 +93,18 @@
         leader if there is one.
     """
     site = Installation(monkeypatch=monkeypatch, seed=outage.nodes)
-    await site.start(nodes=outage.nodes, places=3)
+    await site.start(nodes=outage.nodes, data_centres=3)
     await asyncio.sleep(WARM_UP_S + outage.phase_s)
-    site.begin(outage.fault)
+    site.begin_fault(outage.fault)
     await asyncio.sleep(outage.length_s / 2)
     for _ in range(killed):
-        site.kill(site.find_leader() or min(site.members))
+        site.kill(site.find_leader() or min(site.running_nodes))
     await asyncio.sleep(outage.length_s / 2)
     site.end_fault()
     recovered = site.loop.time()
     site.mark_server_leaving()
     for revision in range(2, 2 + REVISIONS):
-        site.change(revision)
+        site.confirm_revision(revision)
         await asyncio.sleep(0.05)
     await site.wait_until(lambda: site.find_leader() is not None, SETTLED_S)
     leaderless_s = site.loop.time() - recovered
@@ -191,22 +191,22 @@
 ) -> None:
     async def check() -> float:
         site = Installation(monkeypatch=monkeypatch, seed=6)
-        await site.start(nodes=6, places=3)
+        await site.start(nodes=6, data_centres=3)
         await asyncio.sleep(WARM_UP_S)
         leader = site.find_leader()
         assert leader is not None
-        others = sorted(set(site.members) - {leader})
+        others = sorted(set(site.running_nodes) - {leader})
         chosen = {
             "the leader": [leader],
             "the others": others,
             "half of all": [leader, *others[:2]],
         }
-        site.begin(fault, chosen[cut_off])
+        site.begin_fault(fault, chosen[cut_off])
         for revision in range(2, 18):
-            site.change(revision)
+            site.confirm_revision(revision)
             await asyncio.sleep(0.5)
         site.end_fault()
-        site.change(18)
+        site.confirm_revision(18)
         await site.wait_until(site.is_in_force, SETTLED_S)
         await site.stop()
         return site.find_lateness(0.0)
@@ -224,7 +224,7 @@
     # long polls the configuration for 5 s and the nodes topic for 10 s.
     async def count() -> float:
         site = Installation(monkeypatch=monkeypatch, seed=nodes)
-        await site.start(nodes=nodes, places=3)
+        await site.start(nodes=nodes, data_centres=3)
         before = site.count_calls()
         await asyncio.sleep(60.0)
         calls = site.count_calls() - before
--- a/test/tasks/test_store_copies.py
+++ b/test/tasks/test_store_restores.py
@@ -30,7 +30,7 @@
 
 async def start_installation(monkeypatch, nodes: int) -> Installation:
     site = Installation(monkeypatch=monkeypatch, seed=nodes)
-    await site.start(nodes=nodes, places=DATA_CENTRES)
+    await site.start(nodes=nodes, data_centres=DATA_CENTRES)
     await asyncio.sleep(12.0)
     return site
 
@@ -39,7 +39,7 @@
     site: Installation, age_s: float, fault: Fault = Fault.SILENT
 ) -> None:
     """Make the store unavailable, and restore it from a backup of some age."""
-    site.begin(fault)
+    site.begin_fault(fault)
     await asyncio.sleep(OUTAGE_S)
     site.store.restore(age_s + OUTAGE_S)
     site.end_fault()
@@ -59,14 +59,14 @@
 def list_leaders(site: Installation) -> list[str]:
     return [
         address
-        for address, member in site.members.items()
+        for address, member in site.running_nodes.items()
         if member.task.is_leader
     ]
 
 
 def list_terms(site: Installation) -> set[int]:
     """Return the terms of the views that are in use."""
-    return {member.state.view.term for member in site.members.values()}
+    return {member.state.view.term for member in site.running_nodes.values()}
 
 
 def is_led_by_one(site: Installation) -> bool:
@@ -74,10 +74,10 @@
     leaders = list_leaders(site)
     if len(leaders) != 1:
         return False
-    own = site.members[leaders[0]].state.view
+    own = site.running_nodes[leaders[0]].state.view
     return all(
         member.state.view.version == own.version
-        for member in site.members.values()
+        for member in site.running_nodes.values()
     )
 
 
@@ -111,12 +111,12 @@
     async def run_scenario() -> float:
         site = await start_installation(monkeypatch, nodes)
         for revision in (2, 3):
-            site.change(revision)
+            site.confirm_revision(revision)
             await asyncio.sleep(0.2)
         await restore_store(site, age_s)
         await asyncio.sleep(REWRITE_DELAY_S)
         for revision in (3, 4):
-            site.change(revision)
+            site.confirm_revision(revision)
             await asyncio.sleep(0.05)
         changed = site.loop.time()
         await site.wait_until(site.is_in_force, 10.0)
@@ -136,7 +136,7 @@
         await restore_store(site, 4.0)
         await asyncio.sleep(SETTLE_S)
         keys = {record.key for record in site.store.topics[Topic.NODES]}
-        missing = [f"node/{name}" for name in site.members]
+        missing = [f"node/{name}" for name in site.running_nodes]
         assert_that(set(missing) - keys, HasLength(0))
         assert_that(is_led_by_one(site), Is(True))
         await site.stop()
--- a/test/tasks/test_suspects_at_size.py
+++ b/test/tasks/test_suspects_at_size.py
@@ -30,7 +30,7 @@
 
 async def start(monkeypatch, nodes: int, seed: int = 1) -> Installation:
     site = Installation(monkeypatch=monkeypatch, seed=seed)
-    await site.start(nodes=nodes, places=DATA_CENTRES)
+    await site.start(nodes=nodes, data_centres=DATA_CENTRES)
     await asyncio.sleep(3.0)
     return site
 
@@ -38,7 +38,7 @@
 def list_nodes(site: Installation, data_centre: int) -> list[str]:
     return [
         address
-        for address, member in site.members.items()
+        for address, member in site.running_nodes.items()
         if member.state.own.data_centre == f"p{data_centre}"
     ]
 
@@ -97,10 +97,10 @@
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
         leader = site.find_leader() or ""
-        followers = [node for node in site.members if node != leader]
+        followers = [node for node in site.running_nodes if node != leader]
         generator = random.Random(nodes)
         if is_store_unresponsive:
-            site.begin(Fault.SILENT)
+            site.begin_fault(Fault.SILENT)
         for number in range(MAX_CRASHES):
             if number == crashes_before_loss:
                 site.kill(leader)
@@ -121,12 +121,12 @@
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, 77)
         request = CrashingRequest(site=site, content=CONTENT)
-        for address, member in list(site.members.items()):
+        for address, member in list(site.running_nodes.items()):
             if member.task.is_relay:
                 site.kill(address)
         generator = random.Random(1)
         for _ in range(MAX_CRASHES):
-            await request.send(generator.choice(sorted(site.members)))
+            await request.send(generator.choice(sorted(site.running_nodes)))
         await asyncio.sleep(MAX_PROPAGATION_S)
         await request.attempt_everywhere()
         await site.stop()
@@ -144,16 +144,16 @@
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
         leader = site.find_leader()
-        parted = [one for one in list_nodes(site, 0) if one != leader][:2]
-        site.parted.update(parted)
+        partitioned = [one for one in list_nodes(site, 0) if one != leader][:2]
+        site.partitioned.update(partitioned)
         await asyncio.sleep(1.0)
-        connected = [node for node in site.members if node not in parted]
+        connected = [node for node in site.running_nodes if node not in partitioned]
         for node in connected[:MAX_CRASHES]:
             await request.send(node)
         await asyncio.sleep(1.0)
-        site.parted.clear()
+        site.partitioned.clear()
         await asyncio.sleep(MAX_PROPAGATION_S)
-        await asyncio.gather(*(request.attempt(node) for node in parted))
+        await asyncio.gather(*(request.attempt(node) for node in partitioned))
         await site.stop()
         return request
 
@@ -166,10 +166,10 @@
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
-        for node in list(site.members)[:MAX_CRASHES]:
+        for node in list(site.running_nodes)[:MAX_CRASHES]:
             await request.send(node)
         site.add("late", "p0")
-        late = site.members["late"].state
+        late = site.running_nodes["late"].state
         await site.wait_until(lambda: late.view.sequence > 0, 5.0)
         await request.attempt("late")
         await site.stop()
@@ -184,14 +184,14 @@
     async def play() -> CrashingRequest:
         site = await start(monkeypatch, nodes)
         request = CrashingRequest(site=site, content=CONTENT)
-        for node in list(site.members)[:MAX_CRASHES]:
+        for node in list(site.running_nodes)[:MAX_CRASHES]:
             await request.send(node)
         await asyncio.sleep(0.5)
-        for node in list(site.members):
+        for node in list(site.running_nodes):
             site.kill(node)
         for number in range(nodes):
             site.add(f"n{number:02}", f"p{number % DATA_CENTRES}")
-        states = [member.state for member in site.members.values()]
+        states = [member.state for member in site.running_nodes.values()]
         await site.wait_until(
             lambda: all(state.view.sequence > 0 for state in states), 10.0
         )
@@ -249,12 +249,12 @@
     async def play() -> None:
         site = await start(monkeypatch, 9)
         request = CrashingRequest(site=site, content=CONTENT)
-        nodes = list(site.members)
+        nodes = list(site.running_nodes)
         for node in nodes[:2]:
             await request.send(node)
         await asyncio.sleep(0.5)
-        members = site.members.values()
-        detectors = [member.task.suspicion for member in members]
+        running_nodes = site.running_nodes.values()
+        detectors = [member.task.suspicion for member in running_nodes]
         for detector in detectors:
             assert_that(detector.count_crashes(CONTENT), Equals(2))
         detectors[-1].note_clean(CONTENT)
