--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -39,7 +39,7 @@
 from chervilrock.platform import headers as names
 from chervilrock.serving_metrics import ServingMetrics
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.room import WaitingRoom
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
 from chervilrock.tasks.serving.suspicion import Suspicion
 
@@ -66,7 +66,7 @@
     """What all requests of a node share."""
 
     state: ServingState
-    room: WaitingRoom
+    waitqueue: WaitQueue
     pool: CurlPool
     metrics: ServingMetrics
     suspicion: Suspicion
@@ -107,7 +107,7 @@
         )
         self._search = PlaceSearch(
             state=context.state,
-            room=context.room,
+            waitqueue=context.waitqueue,
             request=request,
             connection=connection,
             check=self._check,
--- a/chervilrock/edges/serving/places.py
+++ b/chervilrock/edges/serving/places.py
@@ -24,7 +24,7 @@
 from chervilrock.edges.serving.connection import CallerConnection
 from chervilrock.edges.serving.suspectcheck import SuspectCheck
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.room import WaitingRoom
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
 
 Endpoint = GroupEndpoint | ServerEndpoint
@@ -56,7 +56,7 @@
         self,
         *,
         state: ServingState,
-        room: WaitingRoom,
+        waitqueue: WaitQueue,
         request: CallerRequest,
         connection: CallerConnection,
         check: SuspectCheck,
@@ -71,7 +71,7 @@
           check: whether it is withheld.
         """
         self._state = state
-        self._room = room
+        self._waitqueue = waitqueue
         self._request = request
         self._connection = connection
         self._check = check
@@ -151,7 +151,7 @@
         if self.place is not None:
             self._state.note_ended(self.place.endpoint.server)
             self.place = None
-            self._room.notify()
+            self._waitqueue.notify()
 
     def has_other(self, now: float) -> bool:
         """Tell whether another group has room for the request."""
@@ -269,7 +269,7 @@
         now = read_clock()
         arrived = self._request.arrived
         turn = -arrived if standing is Standing.ON_TIME else arrived
-        await self._room.wait(
+        await self._waitqueue.wait(
             self._try_place,
             rank=(admission.priority, int(standing), turn),
             until=until,
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -29,16 +29,16 @@
 from chervilrock.platform.store import StoreClient
 from chervilrock.serving_metrics import ServingMetrics
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.messages import SilenceSeen
+from chervilrock.tasks.serving.messages import StallReported
 from chervilrock.tasks.serving.node import NodeTask
 from chervilrock.tasks.serving.outbound import Ports
 from chervilrock.tasks.serving.peermessages import (
     decode_announcement,
-    decode_ends,
+    decode_crash_report,
     decode_limit,
 )
-from chervilrock.tasks.serving.room import WaitingRoom
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 MAX_REQUESTS = 1024
 """Requests to backend servers at once, far above the slots of all groups."""
@@ -100,14 +100,14 @@
         )
         self._state = ServingState(
             own=self._own,
-            bounds=RepeatBounds(
+            bounds=RetryBounds(
                 ratio=settings.repeat_ratio,
                 slack=settings.repeat_slack,
                 window_s=settings.repeat_window_s,
             ),
             generator=random.Random(),
         )
-        self._room = WaitingRoom()
+        self._waitqueue = WaitQueue()
         self._metrics = ServingMetrics()
         self._client = HttpClient()
         self._pool = CurlPool(
@@ -126,11 +126,11 @@
                 liveness=ConnectionLiveness(),
             ),
             state=self._state,
-            room=self._room,
+            waitqueue=self._waitqueue,
         )
         context = Context(
             state=self._state,
-            room=self._room,
+            waitqueue=self._waitqueue,
             pool=self._pool,
             metrics=self._metrics,
             suspicion=self._task.suspicion,
@@ -341,7 +341,7 @@
         if path == "/peer/limit":
             return self._answer_limit(body)
         if path.startswith("/peer/silence/"):
-            self._task.mailbox.offer(SilenceSeen(rest.partition("/")[2]))
+            self._task.mailbox.offer(StallReported(rest.partition("/")[2]))
             return Reply(status=200)
         if path == "/state":
             dump = msgspec.json.encode(self._task.describe(now), enc_hook=str)
@@ -358,7 +358,7 @@
         return Reply(status=200, body=msgspec.json.encode(answer))
 
     def _answer_ends(self, body: bytes, now: float) -> Reply:
-        report = decode_ends(body)
+        report = decode_crash_report(body)
         if report is None:
             return Reply(status=400)
         self._task.suspicion.note_report(report, now)
@@ -374,7 +374,7 @@
     def _answer_metrics(self, now: float) -> Reply:
         metrics = self._metrics
         metrics.running.set(len(self._callers.exchanges))
-        metrics.waiting.set(len(self._room))
+        metrics.waiting.set(len(self._waitqueue))
         metrics.leads.set(1 if self._task.is_leader else 0)
         metrics.show_hosts(self._task.host_counts)
         metrics.show_store_ages(self._task.list_store_ages(now))
--- a/chervilrock/tasks/serving/endreports.py
+++ b/chervilrock/tasks/serving/endreports.py
@@ -10,7 +10,7 @@
 
 from chervilrock.decisions.serving.suspects import CrashReport, ServerCrash
 from chervilrock.decisions.serving.view import NodeEntry
-from chervilrock.tasks.serving.messages import EndsAnswered
+from chervilrock.tasks.serving.messages import CrashReportAnswered
 from chervilrock.tasks.serving.outbound import Outbound
 from chervilrock.tasks.serving.state import ServingState
 
@@ -87,19 +87,19 @@
                 crashes=self._list_crashes(self._unsent),
                 cleared=tuple(self._unsent_cleared[:MAX_REPORTED_CRASHES]),
             )
-            self._outbound.tell_ends(leader, report)
+            self._outbound.send_crash_report(leader, report)
 
     def discard_unsent(self) -> None:
         """Discard unsent reports, as this node is the leader itself."""
         self._unsent.clear()
         self._unsent_cleared.clear()
 
-    def note_answered(self, answered: EndsAnswered, now: float) -> None:
+    def note_answered(self, answered: CrashReportAnswered, now: float) -> None:
         """Handle the answer to a report."""
         if answered.incarnation != self._leader:
             return
         self._is_awaiting_answer = False
-        if not answered.is_taken:
+        if not answered.is_accepted:
             self._retry_at = now + REPORT_RETRY_DELAY_S
             self._broadcast_keys(self._unsent)
             return
@@ -126,7 +126,7 @@
         )
         for entry in self._state.known_nodes.values():
             if entry.incarnation != self._state.own.incarnation:
-                self._outbound.tell_ends(entry, report)
+                self._outbound.send_crash_report(entry, report)
 
     def _list_keys(self, contents: set[str]) -> list[CrashKey]:
         return [key for key in self._seen if key[0] in contents]
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -44,7 +44,7 @@
     ServerAnswered,
 )
 from chervilrock.tasks.serving.outbound import DecodeServer, Outbound
-from chervilrock.tasks.serving.peers import News, Peers
+from chervilrock.tasks.serving.peers import Update, Peers
 from chervilrock.tasks.serving.state import ServingState
 
 OUTAGE_GRACE_S = 2.3
@@ -271,7 +271,7 @@
             loads[server] = loads.get(server, 0) + count
         self._loads = loads
         self._senders = summary.senders + bool(state.own_loads)
-        state.take_loads(loads, state.own_loads, senders=self._senders, now=now)
+        state.apply_loads(loads, state.own_loads, senders=self._senders, now=now)
         state.has_traffic = state.has_traffic or summary.has_traffic
         if state.has_traffic:
             self._controller.note_traffic()
@@ -354,7 +354,7 @@
             state.view_time = now
             return
         self._sequence += 1
-        state.use_view(
+        state.apply_view(
             ServingView(
                 term=self.term,
                 sequence=self._sequence,
@@ -380,7 +380,7 @@
         nodes = self._state.list_active_nodes(self._state.own.node, now)
         return self._limits.list_servers(present, nodes, now)
 
-    def _make_update(self, now: float) -> News:
+    def _make_update(self, now: float) -> Update:
         state = self._state
         interval_s = self.interval_s
         base = Announcement(
@@ -401,7 +401,7 @@
             suspects_sequence=state.suspects.version[1],
             senders=self._senders,
         )
-        return News(
+        return Update(
             base=base,
             view=state.view,
             nodes=state.nodes,
--- a/chervilrock/tasks/serving/limitreports.py
+++ b/chervilrock/tasks/serving/limitreports.py
@@ -2,7 +2,7 @@
 
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.tasks.serving.leading import LeaderRole
-from chervilrock.tasks.serving.messages import LimitHeard
+from chervilrock.tasks.serving.messages import LimitReported
 from chervilrock.tasks.serving.outbound import Outbound
 from chervilrock.tasks.serving.state import ServingState
 
@@ -43,4 +43,4 @@
             if leading is not None:
                 leading.note_limit(server, rate)
             elif leader is not None:
-                self._outbound.tell_limit(leader, LimitHeard(server, rate))
+                self._outbound.send_limit_report(leader, LimitReported(server, rate))
--- a/chervilrock/tasks/serving/messages.py
+++ b/chervilrock/tasks/serving/messages.py
@@ -74,7 +74,7 @@
     """
 
     is_answered: bool
-    is_overtaken: bool
+    is_outdated: bool
 
 
 class RegistrationAnswered(NamedTuple):
@@ -106,7 +106,7 @@
     is_alive: bool
 
 
-class EndsAnswered(NamedTuple):
+class CrashReportAnswered(NamedTuple):
     """A crash report to a node completed.
 
     Attributes:
@@ -117,7 +117,7 @@
 
     incarnation: str
     report: CrashReport
-    is_taken: bool
+    is_accepted: bool
 
 
 class SuspectWritten(NamedTuple):
@@ -134,13 +134,13 @@
     is_written: bool
 
 
-class SilenceSeen(NamedTuple):
+class StallReported(NamedTuple):
     """A node reported that the streams of a group have stalled."""
 
     group: str
 
 
-class LimitHeard(NamedTuple):
+class LimitReported(NamedTuple):
     """A node reported the stated rate limit of a server.
 
     Attributes:
@@ -162,8 +162,8 @@
     | RegistrationAnswered
     | DocumentRead
     | ServerChecked
-    | EndsAnswered
+    | CrashReportAnswered
     | SuspectWritten
-    | SilenceSeen
-    | LimitHeard
+    | StallReported
+    | LimitReported
 )
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -42,8 +42,8 @@
 from chervilrock.tasks.serving.messages import (
     ClaimAnswered,
     DocumentRead,
-    EndsAnswered,
-    LimitHeard,
+    CrashReportAnswered,
+    LimitReported,
     Message,
     OrderAnswered,
     PeerAnswered,
@@ -52,7 +52,7 @@
     RegistrationAnswered,
     ServerAnswered,
     ServerChecked,
-    SilenceSeen,
+    StallReported,
     SuspectWritten,
 )
 from chervilrock.tasks.serving.outbound import (
@@ -64,7 +64,7 @@
 )
 from chervilrock.tasks.serving.reads import StoreReads
 from chervilrock.tasks.serving.relay import Relay
-from chervilrock.tasks.serving.room import WaitingRoom
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
 from chervilrock.tasks.serving.suspicion import Suspicion
 
@@ -89,7 +89,7 @@
         own: NodeEntry,
         ports: Ports,
         state: ServingState,
-        room: WaitingRoom,
+        waitqueue: WaitQueue,
     ) -> None:
         """Create a task that has read nothing from the store yet.
 
@@ -103,7 +103,7 @@
         self._own = own
         self._ports = ports
         self._state = state
-        self._waitqueue = room
+        self._waitqueue = waitqueue
         self.mailbox: Mailbox[Message] = Mailbox(size=4096)
         self._leadership = Leadership(
             node=own.node, incarnation=own.incarnation, now=now
@@ -173,7 +173,7 @@
 
     def report_stall(self, group: str, now: float) -> None:
         """Report to the leader at once that streams of a group have stalled."""
-        if self._state.is_doubted(group, now):
+        if self._state.is_avoided(group, now):
             return
         self._state.avoid(group, now)
         if self._leader_role is not None:
@@ -181,7 +181,7 @@
             return
         leader = self._find_leader()
         if leader is not None:
-            self._outbound.tell_silence(leader, group)
+            self._outbound.send_stall_report(leader, group)
 
     def handle_announcement(
         self, announcement: Announcement, now: float
@@ -191,7 +191,7 @@
         relayed = None
         if announcement.term >= self._leadership.term:
             self._follow_leader(announcement, now)
-            relayed = self._relay.pass_on(announcement, now)
+            relayed = self._relay.forward(announcement, now)
         self._reported_loads.record(announcement.term, state.own_loads)
         return Acknowledgement(
             term=self._leadership.term,
@@ -202,7 +202,7 @@
             nodes_version=state.nodes_version,
             revision=state.revision,
             loads=state.own_loads,
-            silent=state.list_doubted(now),
+            silent=state.list_avoided(now),
             has_traffic=state.has_traffic,
             relayed=relayed,
             suspects_version=state.suspects.version,
@@ -268,7 +268,7 @@
             "view_age_s": round(now - state.view_time, 3),
             "nodes": state.nodes,
             "own_loads": state.own_loads,
-            "doubted": state.list_doubted(now),
+            "doubted": state.list_avoided(now),
             "failing": state.list_failing(now),
             "short_models": state.shortages.list_short(now),
             "suspects": state.suspects.announced,
@@ -364,14 +364,14 @@
                 self._apply_document(message.document, message.source, now)
             case ServerChecked():
                 self.suspicion.note_checked(message, now)
-            case EndsAnswered():
+            case CrashReportAnswered():
                 self.suspicion.note_answered(message, now)
             case SuspectWritten():
                 self.suspicion.note_written(message)
-            case LimitHeard():
+            case LimitReported():
                 if self._leader_role is not None:
                     self._leader_role.note_limit(message.server, message.rate)
-            case SilenceSeen():
+            case StallReported():
                 if self._leader_role is not None:
                     self._leader_role.record_stall(message.group, now)
 
@@ -408,7 +408,7 @@
             self._reads.store.note_failure(
                 Topic.NODES.value, now, is_silent=True
             )
-        elif answered.is_overtaken:
+        elif answered.is_outdated:
             # The records written in the meantime have to be read first.
             self._leadership.note_overtaken()
         else:
@@ -620,7 +620,7 @@
         counted = self._reported_loads.find_counted(
             announcement.term, announcement.loads_lag
         )
-        state.take_loads(
+        state.apply_loads(
             announcement.loads,
             counted,
             senders=announcement.senders,
@@ -629,7 +629,7 @@
         state.has_traffic = state.has_traffic or announcement.has_traffic
         view = announcement.view
         if view is not None and view.version > state.view.version:
-            state.use_view(view, now)
+            state.apply_view(view, now)
         if state.view.version == (announcement.term, announcement.sequence):
             state.view_time = now
         if announcement.is_cut_from_store:
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -37,8 +37,8 @@
 from chervilrock.tasks.serving.messages import (
     ClaimAnswered,
     DocumentRead,
-    EndsAnswered,
-    LimitHeard,
+    CrashReportAnswered,
+    LimitReported,
     Message,
     OrderAnswered,
     PeerAnswered,
@@ -157,11 +157,11 @@
         """Send an encoded announcement to a node."""
         return self._start(self._announce(entry, body))
 
-    def tell_silence(self, leader: NodeEntry, group: str) -> None:
+    def send_stall_report(self, leader: NodeEntry, group: str) -> None:
         """Report to the leader that the streams of a group have stalled."""
         self._start(self._send_stall_report(leader, group))
 
-    def tell_limit(self, leader: NodeEntry, limit: LimitHeard) -> None:
+    def send_limit_report(self, leader: NodeEntry, limit: LimitReported) -> None:
         """Report the stated rate limit of a server to the leader."""
         self._start(self._send_limit_report(leader, limit))
 
@@ -169,7 +169,7 @@
         """Check whether a server whose connection broke is still alive."""
         self._start(self._check_server(server, address))
 
-    def tell_ends(self, entry: NodeEntry, report: CrashReport) -> None:
+    def send_crash_report(self, entry: NodeEntry, report: CrashReport) -> None:
         """Report to a node during which requests servers crashed."""
         self._start(self._send_crash_report(entry, report))
 
@@ -204,8 +204,8 @@
         )
         # A claim takes effect only when its record is read back.
         is_answered = not isinstance(result, Failure)
-        is_overtaken = is_answered and result.unwrap() is None
-        await self._outbox.send(ClaimAnswered(is_answered, is_overtaken))
+        is_outdated = is_answered and result.unwrap() is None
+        await self._outbox.send(ClaimAnswered(is_answered, is_outdated))
 
     async def _send_order(self, command: Command) -> None:
         result = await self._ports.engines.send_order(
@@ -266,7 +266,7 @@
         await self._post_report(leader, f"silence/{group}", b"{}")
 
     async def _send_limit_report(
-        self, leader: NodeEntry, limit: LimitHeard
+        self, leader: NodeEntry, limit: LimitReported
     ) -> None:
         # The report is repeated until the leader announces the limit.
         await self._post_report(leader, "limit", msgspec.json.encode(limit))
@@ -279,11 +279,11 @@
         self, entry: NodeEntry, report: CrashReport
     ) -> None:
         body = msgspec.json.encode(report)
-        is_taken = await self._post_report(
+        is_accepted = await self._post_report(
             entry, "ends", body, CRASH_REPORT_TIMEOUT_S
         )
         await self._outbox.send(
-            EndsAnswered(entry.incarnation, report, is_taken)
+            CrashReportAnswered(entry.incarnation, report, is_accepted)
         )
 
     async def _write_suspect(
--- a/chervilrock/tasks/serving/peermessages.py
+++ b/chervilrock/tasks/serving/peermessages.py
@@ -9,7 +9,7 @@
 
 from chervilrock.decisions.serving.suspects import CrashReport
 from chervilrock.decisions.serving.view import Acknowledgement, Announcement
-from chervilrock.tasks.serving.messages import LimitHeard
+from chervilrock.tasks.serving.messages import LimitReported
 
 COMPRESSION_LEVEL = 1
 """Compression level of gzip. Names recur in a view: an announcement with a view
@@ -25,7 +25,7 @@
 _ANNOUNCEMENT = msgspec.json.Decoder(Announcement)
 _ACKNOWLEDGEMENT = msgspec.json.Decoder(Acknowledgement)
 _CRASH_REPORT = msgspec.json.Decoder(CrashReport)
-_LIMIT = msgspec.json.Decoder(LimitHeard)
+_LIMIT = msgspec.json.Decoder(LimitReported)
 
 
 def encode_announcement(announcement: Announcement) -> bytes:
@@ -41,7 +41,7 @@
         return None
 
 
-def decode_limit(body: bytes) -> LimitHeard | None:
+def decode_limit(body: bytes) -> LimitReported | None:
     """Decode a limit report; None for an invalid body."""
     try:
         return _LIMIT.decode(body)
@@ -57,7 +57,7 @@
         return None
 
 
-def decode_ends(body: bytes) -> CrashReport | None:
+def decode_crash_report(body: bytes) -> CrashReport | None:
     """Decode a crash report; None for an invalid body."""
     try:
         return _CRASH_REPORT.decode(body)
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -99,7 +99,7 @@
         return answer is not None and answer.suspects_version == version
 
 
-class News(NamedTuple):
+class Update(NamedTuple):
     """Content and intervals of the next announcements.
 
     Attributes:
@@ -190,7 +190,7 @@
             emit(Event.NODE_SEEN, node=peer.entry.node)
 
     def announce(
-        self, update: News, now: float, *, is_last: bool = False
+        self, update: Update, now: float, *, is_last: bool = False
     ) -> list[Awaitable[None]]:
         """Send announcements to the nodes for which one is due.
 
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -8,7 +8,7 @@
 from chervilrock.decisions.serving.view import Announcement, Summary
 from chervilrock.tasks.serving.messages import PeerAnswered
 from chervilrock.tasks.serving.outbound import Outbound
-from chervilrock.tasks.serving.peers import News, Peers
+from chervilrock.tasks.serving.peers import Update, Peers
 from chervilrock.tasks.serving.state import ServingState
 
 
@@ -33,7 +33,7 @@
         self._lost_after_s = 0.0
         self._forwarded_at = float("-inf")
 
-    def pass_on(self, announcement: Announcement, now: float) -> Summary | None:
+    def forward(self, announcement: Announcement, now: float) -> Summary | None:
         """Forward an announcement that was applied to the state.
 
         Returns:
@@ -85,9 +85,9 @@
             now,
         )
 
-    def _make_update(self, announcement: Announcement) -> News:
+    def _make_update(self, announcement: Announcement) -> Update:
         state = self._state
-        return News(
+        return Update(
             base=announcement._replace(
                 lost_after_s=announcement.lost_after_s + SWITCH_S,
                 loads_lag=announcement.loads_lag + 1,
--- a/chervilrock/tasks/serving/state.py
+++ b/chervilrock/tasks/serving/state.py
@@ -44,7 +44,7 @@
 _MS_PER_S = 1000
 
 
-class RepeatBounds(NamedTuple):
+class RetryBounds(NamedTuple):
     """Limits on retries that all nodes share.
 
     Attributes:
@@ -83,7 +83,7 @@
         self,
         *,
         own: NodeEntry,
-        bounds: RepeatBounds,
+        bounds: RetryBounds,
         generator: random.Random,
     ) -> None:
         """Create a state that contains only this node.
@@ -125,7 +125,7 @@
         routes = self.routes
         return -1 if routes is None else routes.configuration.revision
 
-    def use_view(self, view: ServingView, now: float) -> None:
+    def apply_view(self, view: ServingView, now: float) -> None:
         """Replace the view; drop failures and limits of absent endpoints."""
         self.view = view
         self.view_time = now
@@ -313,11 +313,11 @@
             if self.is_failing(group, now)
         )
 
-    def is_doubted(self, endpoint: str, now: float) -> bool:
+    def is_avoided(self, endpoint: str, now: float) -> bool:
         """Return whether a group or server is avoided after `avoid`."""
         return self._avoided_until.get(endpoint, now) > now
 
-    def list_doubted(self, now: float) -> tuple[str, ...]:
+    def list_avoided(self, now: float) -> tuple[str, ...]:
         """Return the groups and servers that are avoided after `avoid`."""
         for name in [
             name for name, end in self._avoided_until.items() if end <= now
@@ -335,7 +335,7 @@
         """Number of requests of this node at each endpoint."""
         return self._own_loads
 
-    def take_loads(
+    def apply_loads(
         self,
         total: Mapping[str, int],
         own: Mapping[str, int],
@@ -440,5 +440,5 @@
             own=self._own_loads.get(server, 0),
             others=self._other_loads.get(server, 0),
             slots=max(1, slots),
-            is_doubtful=self.is_doubted(endpoint, now),
+            is_doubtful=self.is_avoided(endpoint, now),
         )
--- a/chervilrock/tasks/serving/suspicion.py
+++ b/chervilrock/tasks/serving/suspicion.py
@@ -26,7 +26,7 @@
 from chervilrock.tasks.clock import read_clock
 from chervilrock.tasks.serving.endreports import CrashReports
 from chervilrock.tasks.serving.messages import (
-    EndsAnswered,
+    CrashReportAnswered,
     ServerChecked,
     SuspectWritten,
 )
@@ -228,7 +228,7 @@
         self._reports.drop(content)
         self._evaluate_at = float("-inf")
 
-    def note_answered(self, answered: EndsAnswered, now: float) -> None:
+    def note_answered(self, answered: CrashReportAnswered, now: float) -> None:
         """Handle the answer to a report of this node."""
         self._reports.note_answered(answered, now)
 
--- a/chervilrock/tasks/serving/room.py
+++ b/chervilrock/tasks/serving/waitqueue.py
@@ -23,7 +23,7 @@
         )
 
 
-class WaitingRoom:
+class WaitQueue:
     """Queue of waiting requests, by rank and then in order of arrival."""
 
     def __init__(self) -> None:
--- a/test/edges/test_repeat_claims.py
+++ b/test/edges/test_repeat_claims.py
@@ -8,7 +8,7 @@
 
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.edges.serving.repeatclaim import RepeatClaim
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 SERVICE = "models"
 
@@ -18,7 +18,7 @@
     """A node that may send three requests again."""
     state = ServingState(
         own=NodeEntry("n1", "i1", "10.0.0.1:1", "10.0.0.1:2", "a"),
-        bounds=RepeatBounds(ratio=0.0, slack=4.0, window_s=10.0),
+        bounds=RetryBounds(ratio=0.0, slack=4.0, window_s=10.0),
         generator=random.Random(1),
     )
     budget = state.budget(SERVICE)
--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -38,10 +38,10 @@
 from chervilrock.tasks.serving.outbound import Ports
 from chervilrock.tasks.serving.peermessages import (
     decode_announcement,
-    decode_ends,
+    decode_crash_report,
 )
-from chervilrock.tasks.serving.room import WaitingRoom
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 STORE_S = 0.004
 """Time in which the store answers a call."""
@@ -260,7 +260,7 @@
         if path == "peer/configuration":
             body = node.task.get_document()
         elif path == "peer/ends":
-            report = decode_ends(options["body"])
+            report = decode_crash_report(options["body"])
             assert report is not None
             now = asyncio.get_running_loop().time()
             node.task.suspicion.note_report(report, now)
@@ -411,7 +411,7 @@
         )
         state = ServingState(
             own=own,
-            bounds=RepeatBounds(ratio=0.2, slack=100, window_s=10.0),
+            bounds=RetryBounds(ratio=0.2, slack=100, window_s=10.0),
             generator=random.Random(self.generator.random()),
         )
         connection = StoreConnection(store=self.store)
@@ -430,7 +430,7 @@
                 liveness=Liveness(crashed=self.crashed_servers),
             ),
             state=state,
-            room=WaitingRoom(),
+            waitqueue=WaitQueue(),
         )
         running = asyncio.ensure_future(task.run())
         running.add_done_callback(self._collect_failure)
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -42,9 +42,9 @@
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.exchange import Context, Exchange
 from chervilrock.platform import headers as names
-from chervilrock.tasks.serving import room as waitqueue_module
-from chervilrock.tasks.serving.room import WaitingRoom
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving import waitqueue as waitqueue_module
+from chervilrock.tasks.serving.waitqueue import WaitQueue
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 from test.tasks.virtual_time import run_virtually
 
 if TYPE_CHECKING:
@@ -556,7 +556,7 @@
                 state = context.state
                 now = asyncio.get_running_loop().time()
                 state.refill_budgets(is_in_touch=True, now=now)
-                state.take_loads(
+                state.apply_loads(
                     self._load_totals[0],
                     reported.find_counted(TERM, lag),
                     senders=len(self._nodes),
@@ -567,7 +567,7 @@
                     total[server] = total.get(server, 0) + count
             self._load_totals = [*self._load_totals[1:], total]
             for context in self._nodes:
-                context.room.notify()
+                context.waitqueue.notify()
 
     def _make_node(
         self,
@@ -579,7 +579,7 @@
         name = f"n{data_centre}-{number}"
         state = ServingState(
             own=NodeEntry(name, name, name, name, f"p{data_centre}"),
-            bounds=RepeatBounds(ratio=0.2, slack=320, window_s=10.0),
+            bounds=RetryBounds(ratio=0.2, slack=320, window_s=10.0),
             generator=random.Random(self._generator.random()),
         )
         state.view = view
@@ -587,7 +587,7 @@
         state.routes = routes
         return Context(
             state=state,
-            room=WaitingRoom(),
+            waitqueue=WaitQueue(),
             pool=_Pool(),  # type: ignore[arg-type]
             metrics=_NoMetrics(),  # type: ignore[arg-type]
             suspicion=_NoSuspects(),  # type: ignore[arg-type]
--- a/test/tasks/stale_loads.py
+++ b/test/tasks/stale_loads.py
@@ -28,7 +28,7 @@
     NodeEntry,
     ServingView,
 )
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 SLOTS = 11
 SERVICE = "s"
@@ -189,7 +189,7 @@
     def _make_state(self, own: NodeEntry, view: ServingView) -> ServingState:
         state = ServingState(
             own=own,
-            bounds=RepeatBounds(ratio=0.2, slack=100, window_s=10.0),
+            bounds=RetryBounds(ratio=0.2, slack=100, window_s=10.0),
             generator=random.Random(self._generator.random()),
         )
         state.view = view
@@ -203,7 +203,7 @@
             own = state.own_loads
             if counts_sent:
                 own = reported.find_counted(TERM, lag)
-            state.take_loads(
+            state.apply_loads(
                 self._totals[0], own, senders=len(self._states), now=now
             )
             reported.record(TERM, state.own_loads)
--- a/test/tasks/test_serving_peers.py
+++ b/test/tasks/test_serving_peers.py
@@ -13,7 +13,7 @@
     NO_VIEW,
     NodeEntry,
 )
-from chervilrock.tasks.serving.peers import News, Peers
+from chervilrock.tasks.serving.peers import Update, Peers
 
 NODES = 40
 BUSY = 8
@@ -83,7 +83,7 @@
         interval_s = find_interval(NODES)
         while self._now < until:
             self._now = round(self._now + STEP_S, 6)
-            update = News(
+            update = Update(
                 base=make_announcement(self.revision),
                 view=NO_VIEW,
                 nodes=(),
--- a/test/tasks/test_serving_state.py
+++ b/test/tasks/test_serving_state.py
@@ -9,7 +9,7 @@
 from chervilrock.decisions.serving.routes import RouteTable
 from chervilrock.decisions.serving.site import Limits, SiteConfiguration
 from chervilrock.decisions.serving.view import NodeEntry
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 OWN = NodeEntry("n1", "i1", "10.0.0.1:1", "10.0.0.1:2", "a")
 OTHER = NodeEntry("n2", "i2", "10.0.0.2:1", "10.0.0.2:2", "a")
@@ -19,7 +19,7 @@
 def state() -> ServingState:
     return ServingState(
         own=OWN,
-        bounds=RepeatBounds(ratio=0.2, slack=100, window_s=10.0),
+        bounds=RetryBounds(ratio=0.2, slack=100, window_s=10.0),
         generator=random.Random(1),
     )
 
--- a/test/tasks/test_suspicion.py
+++ b/test/tasks/test_suspicion.py
@@ -10,8 +10,8 @@
 
 from chervilrock.decisions.serving.suspects import CrashReport, ServerCrash
 from chervilrock.decisions.serving.view import NodeEntry
-from chervilrock.tasks.serving.messages import EndsAnswered, ServerChecked
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.messages import CrashReportAnswered, ServerChecked
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 from chervilrock.tasks.serving.suspicion import (
     BrokenSend,
     FOLLOWER_SETTLE_S,
@@ -43,7 +43,7 @@
         del address
         self.checked.append(server)
 
-    def tell_ends(self, entry: NodeEntry, report: CrashReport) -> None:
+    def send_crash_report(self, entry: NodeEntry, report: CrashReport) -> None:
         self.reports.append((entry.node, report))
 
     def write_suspect(self, content: str, suspect: object) -> None:
@@ -59,7 +59,7 @@
 def state() -> ServingState:
     state = ServingState(
         own=OWN,
-        bounds=RepeatBounds(ratio=0.2, slack=100, window_s=10.0),
+        bounds=RetryBounds(ratio=0.2, slack=100, window_s=10.0),
         generator=random.Random(1),
     )
     state.known_nodes = {entry.node: entry for entry in (OWN, LEADER, OTHER)}
@@ -131,7 +131,7 @@
     ((node, report),) = calls.reports
     assert_that(node, Equals("leader"))
     suspicion.note_answered(
-        EndsAnswered(LEADER.incarnation, report, True), NOW + 0.1
+        CrashReportAnswered(LEADER.incarnation, report, True), NOW + 0.1
     )
     act(NOW + 0.5)
     assert_that(calls.reports, HasLength(1))
@@ -143,7 +143,7 @@
     crash_server(suspicion, "s1")
     act(NOW)
     suspicion.note_answered(
-        EndsAnswered(LEADER.incarnation, calls.reports[0][1], True), NOW
+        CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], True), NOW
     )
     act(NOW + 1.0, leader=OTHER)
     node, report = calls.reports[-1]
@@ -157,7 +157,7 @@
     crash_server(suspicion, "s1")
     act(NOW)
     suspicion.note_answered(
-        EndsAnswered(LEADER.incarnation, calls.reports[0][1], False), NOW
+        CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], False), NOW
     )
     receivers = [node for node, _ in calls.reports[1:]]
     assert_that(sorted(receivers), Equals(["leader", "other"]))
