--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -41,7 +41,7 @@
 from chervilrock.tasks.clock import read_clock
 from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import Suspicion
+from chervilrock.tasks.serving.poisondetector import PoisonDetector
 
 CONNECT_TIMEOUT_S = 0.4
 """Longest time to connect to a server; it takes some milliseconds, and a
@@ -69,7 +69,7 @@
     waitqueue: WaitQueue
     pool: CurlPool
     metrics: ServingMetrics
-    suspicion: Suspicion
+    poisondetector: PoisonDetector
 
 
 class Exchange:
@@ -102,7 +102,7 @@
         self._first_event: float | None = None
         self._check = SuspectCheck(
             state=context.state,
-            suspicion=context.suspicion,
+            poisondetector=context.poisondetector,
             request=request,
         )
         self._search = PlaceSearch(
@@ -216,7 +216,7 @@
         )
         if following is NextStep.FINISH:
             if end is SendOutcome.COMPLETE:
-                self._check.note_clean()
+                self._check.record_completion()
             self._finish(status, end)
             return False
         if following is NextStep.RETRY:
--- a/chervilrock/edges/serving/exchangelog.py
+++ b/chervilrock/edges/serving/exchangelog.py
@@ -12,7 +12,7 @@
 from chervilrock.events import emit, Event
 from chervilrock.serving_metrics import RequestEnd
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import BrokenSend
+from chervilrock.tasks.serving.poisondetector import BrokenSend
 
 _MS_PER_S = 1000
 
--- a/chervilrock/edges/serving/suspectcheck.py
+++ b/chervilrock/edges/serving/suspectcheck.py
@@ -16,7 +16,7 @@
 from chervilrock.edges.serving.receiver import AnswerReceiver
 from chervilrock.tasks.clock import read_clock
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import BrokenSend, Suspicion
+from chervilrock.tasks.serving.poisondetector import BrokenSend, PoisonDetector
 
 
 class SuspectCheck:
@@ -26,7 +26,7 @@
         self,
         *,
         state: ServingState,
-        suspicion: Suspicion,
+        poisondetector: PoisonDetector,
         request: CallerRequest,
     ) -> None:
         """Check an attempt.
@@ -37,7 +37,7 @@
           request: the attempt.
         """
         self._state = state
-        self._suspicion = suspicion
+        self._poisondetector = poisondetector
         self._request = request
         self._workspace = ""
         self._is_broken = False
@@ -58,10 +58,10 @@
 
         After a server ended, two ends before it are enough to wait.
         """
-        if self._suspicion.is_empty():
+        if self._poisondetector.is_empty():
             return
         ends = MIN_ANNOUNCED_CRASHES if self._is_broken else MAX_CRASHES
-        await self._suspicion.wait_for_verdict(self._content, ends, until)
+        await self._poisondetector.wait_for_verdict(self._content, ends, until)
 
     def note_end(
         self,
@@ -90,16 +90,16 @@
             since_first_byte_s=since_first_byte_s or 0.0,
             since_sent_s=now - sent,
         )
-        self._suspicion.note_broken(broken, now)
+        self._poisondetector.note_broken(broken, now)
         exchangelog.log_broken(
             self._request.facts.request_id, broken, end, since_first_byte_s
         )
 
-    def note_clean(self) -> None:
+    def record_completion(self) -> None:
         """Clear the request, whose whole answer came."""
-        suspicion = self._suspicion
-        if not suspicion.is_empty() and suspicion.count_crashes(self._content):
-            suspicion.note_clean(self._content)
+        poisondetector = self._poisondetector
+        if not poisondetector.is_empty() and poisondetector.count_crashes(self._content):
+            poisondetector.record_completion(self._content)
 
     @functools.cached_property
     def _content(self) -> str:
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -133,7 +133,7 @@
             waitqueue=self._waitqueue,
             pool=self._pool,
             metrics=self._metrics,
-            suspicion=self._task.suspicion,
+            poisondetector=self._task.poisondetector,
         )
         self._callers = CallerEdge(context=context)
         self._servers: list[httpserver.HTTPServer] = []
@@ -361,7 +361,7 @@
         report = decode_crash_report(body)
         if report is None:
             return Reply(status=400)
-        self._task.suspicion.note_report(report, now)
+        self._task.poisondetector.note_report(report, now)
         return Reply(status=200)
 
     def _answer_limit(self, body: bytes) -> Reply:
--- a/chervilrock/tasks/serving/endreports.py
+++ b/chervilrock/tasks/serving/crashreports.py
@@ -57,7 +57,7 @@
         self._seen[key] = crash
         self._unsent[key] = crash
 
-    def note_clean(self, content: str) -> None:
+    def record_completion(self, content: str) -> None:
         """Record that a request ran to completion, to report it."""
         self.drop(content)
         self._unsent_cleared.append(content)
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -66,7 +66,7 @@
 from chervilrock.tasks.serving.relay import Relay
 from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import Suspicion
+from chervilrock.tasks.serving.poisondetector import PoisonDetector
 
 TICK_S = 0.05
 """Longest time between two checks for due actions."""
@@ -132,7 +132,7 @@
             now=now,
         )
         self._relay = Relay(state=state, outbound=self._outbound)
-        self.suspicion = Suspicion(state=state, outbound=self._outbound)
+        self.poisondetector = PoisonDetector(state=state, outbound=self._outbound)
         self._limit_reports = LimitReports(state=state, outbound=self._outbound)
 
     async def run(self) -> None:
@@ -363,11 +363,11 @@
             case DocumentRead():
                 self._apply_document(message.document, message.source, now)
             case ServerChecked():
-                self.suspicion.note_checked(message, now)
+                self.poisondetector.note_checked(message, now)
             case CrashReportAnswered():
-                self.suspicion.note_answered(message, now)
+                self.poisondetector.note_answered(message, now)
             case SuspectWritten():
-                self.suspicion.note_written(message)
+                self.poisondetector.note_written(message)
             case LimitReported():
                 if self._leader_role is not None:
                     self._leader_role.note_limit(message.server, message.rate)
@@ -481,7 +481,7 @@
         is_restored = former_era is not None and read.page.era > former_era
         if read.is_snapshot:
             self._nodes_era = read.page.era
-            self.suspicion.forget_kept()
+            self.poisondetector.forget_stored()
         if read.is_snapshot and not is_restored:
             known.clear()
         for record in read.page.records:
@@ -493,7 +493,7 @@
                     self._apply_claim(Claim(term, entry), now)
                 elif record.key.startswith(SUSPECT_PREFIX):
                     content = record.key.removeprefix(SUSPECT_PREFIX)
-                    self.suspicion.note_kept(content, record.value, now)
+                    self.poisondetector.record_stored(content, record.value, now)
                 elif not record.value:
                     known.pop(name, None)
                 elif record.key.startswith(NODE_PREFIX):
@@ -612,7 +612,7 @@
                 announcement.nodes_sequence,
             )
         if announcement.suspects is not None:
-            self.suspicion.record_announced(
+            self.poisondetector.record_announced(
                 (announcement.term, announcement.suspects_sequence),
                 announcement.suspects,
                 now,
@@ -691,7 +691,7 @@
     def _update_suspects(self, now: float) -> None:
         """Report requests that crash servers, and update which are withheld."""
         is_heard = self._leadership.is_heard(now)
-        is_changed = self.suspicion.act(
+        is_changed = self.poisondetector.act(
             now,
             term=None if self._leader_role is None else self._leader_role.term,
             leader=self._find_leader() if is_heard else None,
--- a/chervilrock/tasks/serving/suspicion.py
+++ b/chervilrock/tasks/serving/poisondetector.py
@@ -24,7 +24,7 @@
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.events import emit, Event
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.endreports import CrashReports
+from chervilrock.tasks.serving.crashreports import CrashReports
 from chervilrock.tasks.serving.messages import (
     CrashReportAnswered,
     ServerChecked,
@@ -75,7 +75,7 @@
     since_sent_s: float
 
 
-class Suspicion:
+class PoisonDetector:
     """Finds poison requests by the server crashes that one node knows of."""
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
@@ -144,10 +144,10 @@
             self._checks[broken.server] = [broken]
             self._outbound.check_server(broken.server, broken.address)
 
-    def note_clean(self, content: str) -> None:
+    def record_completion(self, content: str) -> None:
         """Record that a request ran to completion, which clears it."""
         if self._tracker.clear(content):
-            self._reports.note_clean(content)
+            self._reports.record_completion(content)
             self._evaluate_at = float("-inf")
 
     def note_checked(self, checked: ServerChecked, now: float) -> None:
@@ -234,11 +234,11 @@
 
     # The store.
 
-    def forget_kept(self) -> None:
+    def forget_stored(self) -> None:
         """Forget which requests have a record in the store, to read it anew."""
         self._stored.clear()
 
-    def note_kept(self, content: str, value: bytes, now: float) -> None:
+    def record_stored(self, content: str, value: bytes, now: float) -> None:
         """Apply the stored record of a withheld request.
 
         Args:
--- a/test/tasks/crashing_requests.py
+++ b/test/tasks/crashing_requests.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.serving.suspects import MIN_ANNOUNCED_CRASHES, MAX_CRASHES
-from chervilrock.tasks.serving.suspicion import BrokenSend
+from chervilrock.tasks.serving.poisondetector import BrokenSend
 from test.tasks.installation import Installation
 
 CRASH_DELAY_S = 0.15
@@ -48,12 +48,12 @@
     async def attempt(self, address: str) -> None:
         """Make an attempt at a node and wait for its outcome."""
         member = self._site.running_nodes[address]
-        suspicion = member.task.suspicion
+        poisondetector = member.task.poisondetector
         loop = self._site.loop
         expires = loop.time() + CALLER_TIMEOUT_S
         min_crashes = MAX_CRASHES
         for _ in range(MAX_SENDS_PER_ATTEMPT):
-            await suspicion.wait_for_verdict(self.content, min_crashes, expires)
+            await poisondetector.wait_for_verdict(self.content, min_crashes, expires)
             if address not in self._site.running_nodes:
                 return
             if member.state.suspects.find_withheld(self.content) is not None:
@@ -80,7 +80,7 @@
             since_first_byte_s=0.0,
             since_sent_s=CRASH_DELAY_S,
         )
-        member.task.suspicion.note_broken(broken, loop.time())
+        member.task.poisondetector.note_broken(broken, loop.time())
 
     async def attempt_everywhere(self) -> None:
         """Make an attempt at each node at the same time."""
--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -33,7 +33,7 @@
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.platform.store import TIMEOUT_S
 from chervilrock.tasks.serving import node as node_module
-from chervilrock.tasks.serving import suspicion as suspicion_module
+from chervilrock.tasks.serving import poisondetector as poisondetector_module
 from chervilrock.tasks.serving.node import NodeTask
 from chervilrock.tasks.serving.outbound import Ports
 from chervilrock.tasks.serving.peermessages import (
@@ -263,7 +263,7 @@
             report = decode_crash_report(options["body"])
             assert report is not None
             now = asyncio.get_running_loop().time()
-            node.task.suspicion.note_report(report, now)
+            node.task.poisondetector.note_report(report, now)
             body = b""
         else:
             announcement = decode_announcement(gzip.decompress(options["body"]))
@@ -299,7 +299,7 @@
     def __init__(self, *, monkeypatch: Any, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
         monkeypatch.setattr(node_module, "read_clock", self.loop.time)
-        monkeypatch.setattr(suspicion_module, "read_clock", self.loop.time)
+        monkeypatch.setattr(poisondetector_module, "read_clock", self.loop.time)
         self.crashed_servers: set[str] = set()
         self.partitioned: set[str] = set()
         self.store = Store()
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -590,7 +590,7 @@
             waitqueue=WaitQueue(),
             pool=_Pool(),  # type: ignore[arg-type]
             metrics=_NoMetrics(),  # type: ignore[arg-type]
-            suspicion=_NoSuspects(),  # type: ignore[arg-type]
+            poisondetector=_NoSuspects(),  # type: ignore[arg-type]
         )
 
 
--- a/test/tasks/test_suspicion.py
+++ b/test/tasks/test_poisondetector.py
@@ -12,10 +12,10 @@
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.tasks.serving.messages import CrashReportAnswered, ServerChecked
 from chervilrock.tasks.serving.state import RetryBounds, ServingState
-from chervilrock.tasks.serving.suspicion import (
+from chervilrock.tasks.serving.poisondetector import (
     BrokenSend,
     FOLLOWER_SETTLE_S,
-    Suspicion,
+    PoisonDetector,
 )
 
 CONTENT = "brokers/0123456789abcdef"
@@ -67,16 +67,16 @@
 
 
 @pytest.fixture
-def suspicion(calls: RecordedCalls, state: ServingState) -> Suspicion:
+def poisondetector(calls: RecordedCalls, state: ServingState) -> PoisonDetector:
     outbound: Any = calls
-    return Suspicion(state=state, outbound=outbound)
+    return PoisonDetector(state=state, outbound=outbound)
 
 
 Act = Callable[..., bool]
 
 
 @pytest.fixture
-def act(suspicion: Suspicion) -> Act:
+def act(poisondetector: PoisonDetector) -> Act:
     """Run the periodic work of a follower that has contact with its leader."""
 
     def run(now: float, **changes: Any) -> bool:
@@ -85,52 +85,52 @@
             "leader": LEADER,
             "reaches_store": True,
         }
-        return suspicion.act(now, **(options | changes))
+        return poisondetector.act(now, **(options | changes))
 
     return run
 
 
-def break_send(suspicion: Suspicion, server: str, now: float = NOW) -> None:
-    suspicion.note_broken(BrokenSend(CONTENT, server, "x:1", 0.0, 0.1), now)
+def break_send(poisondetector: PoisonDetector, server: str, now: float = NOW) -> None:
+    poisondetector.note_broken(BrokenSend(CONTENT, server, "x:1", 0.0, 0.1), now)
 
 
-def crash_server(suspicion: Suspicion, server: str, now: float = NOW) -> None:
-    break_send(suspicion, server, now)
-    suspicion.note_checked(ServerChecked(server, False), now)
+def crash_server(poisondetector: PoisonDetector, server: str, now: float = NOW) -> None:
+    break_send(poisondetector, server, now)
+    poisondetector.note_checked(ServerChecked(server, False), now)
 
 
 def test_a_broken_send_to_a_live_server_is_no_crash(
-    suspicion: Suspicion, calls: RecordedCalls, act: Act
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
 ) -> None:
     for _ in range(2):
-        break_send(suspicion, "s1")
+        break_send(poisondetector, "s1")
     assert_that(calls.checked, Equals(["s1"]))
-    suspicion.note_checked(ServerChecked("s1", True), NOW)
+    poisondetector.note_checked(ServerChecked("s1", True), NOW)
     act(NOW)
-    assert_that(suspicion.count_crashes(CONTENT), Equals(0))
+    assert_that(poisondetector.count_crashes(CONTENT), Equals(0))
     assert_that(calls.reports, HasLength(0))
 
 
 def test_a_send_to_a_server_that_had_crashed_before_does_not_count(
-    suspicion: Suspicion,
+    poisondetector: PoisonDetector,
 ) -> None:
-    suspicion.note_broken(BrokenSend("a/b", "s1", "x:1", 0.0, 0.1), NOW)
-    suspicion.note_checked(ServerChecked("s1", False), NOW)
-    break_send(suspicion, "s1", NOW + 0.05)
-    assert_that(suspicion.count_crashes(CONTENT), Equals(1))
-    suspicion.note_broken(BrokenSend("a/c", "s1", "x:1", 0.0, 0.1), NOW + 0.5)
-    assert_that(suspicion.count_crashes("a/c"), Equals(0))
+    poisondetector.note_broken(BrokenSend("a/b", "s1", "x:1", 0.0, 0.1), NOW)
+    poisondetector.note_checked(ServerChecked("s1", False), NOW)
+    break_send(poisondetector, "s1", NOW + 0.05)
+    assert_that(poisondetector.count_crashes(CONTENT), Equals(1))
+    poisondetector.note_broken(BrokenSend("a/c", "s1", "x:1", 0.0, 0.1), NOW + 0.5)
+    assert_that(poisondetector.count_crashes("a/c"), Equals(0))
 
 
 def test_each_crash_is_reported_to_the_leader_once(
-    suspicion: Suspicion, calls: RecordedCalls, act: Act
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
 ) -> None:
-    crash_server(suspicion, "s1")
+    crash_server(poisondetector, "s1")
     act(NOW)
     act(NOW + 0.05)
     ((node, report),) = calls.reports
     assert_that(node, Equals("leader"))
-    suspicion.note_answered(
+    poisondetector.note_answered(
         CrashReportAnswered(LEADER.incarnation, report, True), NOW + 0.1
     )
     act(NOW + 0.5)
@@ -138,11 +138,11 @@
 
 
 def test_all_crashes_are_reported_to_a_new_leader(
-    suspicion: Suspicion, calls: RecordedCalls, act: Act
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
 ) -> None:
-    crash_server(suspicion, "s1")
+    crash_server(poisondetector, "s1")
     act(NOW)
-    suspicion.note_answered(
+    poisondetector.note_answered(
         CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], True), NOW
     )
     act(NOW + 1.0, leader=OTHER)
@@ -152,11 +152,11 @@
 
 
 def test_crashes_are_reported_to_all_nodes_if_the_leader_does_not_answer(
-    suspicion: Suspicion, calls: RecordedCalls, act: Act
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
 ) -> None:
-    crash_server(suspicion, "s1")
+    crash_server(poisondetector, "s1")
     act(NOW)
-    suspicion.note_answered(
+    poisondetector.note_answered(
         CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], False), NOW
     )
     receivers = [node for node, _ in calls.reports[1:]]
@@ -166,24 +166,24 @@
 
 
 def test_nodes_withhold_a_poison_request_without_a_leader(
-    suspicion: Suspicion, calls: RecordedCalls, state: ServingState, act: Act
+    poisondetector: PoisonDetector, calls: RecordedCalls, state: ServingState, act: Act
 ) -> None:
-    crash_server(suspicion, "s1")
-    crash_server(suspicion, "s2")
+    crash_server(poisondetector, "s1")
+    crash_server(poisondetector, "s2")
     act(NOW, leader=None)
     assert_that(calls.reports, HasLength(2))
     crash = ServerCrash("s3", "other", 0.0, 0.1)
-    suspicion.note_report(CrashReport(((CONTENT, crash),)), NOW + 0.1)
+    poisondetector.note_report(CrashReport(((CONTENT, crash),)), NOW + 0.1)
     later = NOW + 0.1 + 2 * FOLLOWER_SETTLE_S
     assert_that(act(later, leader=None), Is(True))
     assert_that(state.suspects.count_withheld(), Equals(1))
 
 
 def test_a_leader_writes_withheld_requests_to_the_store(
-    suspicion: Suspicion, calls: RecordedCalls, act: Act
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
 ) -> None:
     for server in ("s1", "s2", "s3"):
-        crash_server(suspicion, server)
+        crash_server(poisondetector, server)
     act(NOW, term=7)
     act(NOW + 1.0, term=7, reaches_store=False)
     assert_that(calls.written, HasLength(0))
--- a/test/tasks/test_suspects_at_size.py
+++ b/test/tasks/test_suspects_at_size.py
@@ -254,10 +254,10 @@
             await request.send(node)
         await asyncio.sleep(0.5)
         running_nodes = site.running_nodes.values()
-        detectors = [member.task.suspicion for member in running_nodes]
+        detectors = [member.task.poisondetector for member in running_nodes]
         for detector in detectors:
             assert_that(detector.count_crashes(CONTENT), Equals(2))
-        detectors[-1].note_clean(CONTENT)
+        detectors[-1].record_completion(CONTENT)
         await asyncio.sleep(0.5)
         for detector in detectors:
             assert_that(detector.count_crashes(CONTENT), Equals(0))
