--- a/chervilrock/decisions/limits/pool.py
+++ b/chervilrock/decisions/limits/pool.py
@@ -10,7 +10,7 @@
     concurrency,
     fairness,
     hedging,
-    ledger,
+    requesttracker,
     queueing,
     saturation,
     throughput,
@@ -148,7 +148,7 @@
         self.queue.charge(request.workspace, cost, share)
 
     def finish(
-        self, entry: ledger.RunningRequest, ok: bool, tokens: int, now: float
+        self, entry: requesttracker.RunningRequest, ok: bool, tokens: int, now: float
     ) -> None:
         """Record that a request has ended.
 
--- a/chervilrock/decisions/limits/state.py
+++ b/chervilrock/decisions/limits/state.py
@@ -8,7 +8,7 @@
 
 from chervilrock.decisions.limits import (
     concurrency,
-    ledger,
+    requesttracker,
     retries,
     settings,
 )
@@ -44,7 +44,7 @@
         self._node = node
         self._nodes = 1
         self._pools: dict[str, pools.Pool] = {}
-        self._requests = ledger.RequestTracker()
+        self._requests = requesttracker.RequestTracker()
         self._quota = quotas.Quota(node=node)
         self._budget = retries.RetryBudget()
         self._settings = settings.read_settings(limits, workspaces, ())
@@ -114,7 +114,7 @@
         if limit is not None:
             limit.on_load(load["waiting"])
 
-    def observe_refusal(self, group: str, now: float) -> None:
+    def observe_overload(self, group: str, now: float) -> None:
         """Record that a group rejected a request because of overload."""
         del now
         limit = self._find_limit(group)
@@ -130,7 +130,7 @@
         for model, pool in self._pools.items():
             self._set_groups(model, tuple(pool.group_limits))
 
-    def observe_peer_shares(
+    def observe_peer_uses(
         self, uses: Iterable[interfaces.NodeUse], now: float
     ) -> None:
         """Record the use of the bounded workspaces at peers."""
--- a/chervilrock/decisions/membership/exchange.py
+++ b/chervilrock/decisions/membership/exchange.py
@@ -184,7 +184,7 @@
             heartbeats = digest.get("heartbeats")
             if heartbeats is not None:
                 self._table.merge_heartbeats(heartbeats, now)
-        self._shares.observe_peer_shares(digest.get("shares", ()), now)
+        self._shares.observe_peer_uses(digest.get("shares", ()), now)
         stored = read_configuration(digest.get("configuration"))
         if stored is not None:
             self._shelf.adopt(stored, now)
--- a/chervilrock/decisions/membership/shelf.py
+++ b/chervilrock/decisions/membership/shelf.py
@@ -36,7 +36,7 @@
     def shares(self, now: float) -> tuple[NodeUse, ...]:
         """Return what this node and its peers run."""
 
-    def observe_peer_shares(self, uses: Iterable[NodeUse], now: float) -> None:
+    def observe_peer_uses(self, uses: Iterable[NodeUse], now: float) -> None:
         """Learn what peers run."""
 
     def observe_members(self, members: Iterable[str], now: float) -> None:
--- a/chervilrock/decisions/requests/attempts.py
+++ b/chervilrock/decisions/requests/attempts.py
@@ -72,7 +72,7 @@
     """
 
     exclude: frozenset[str]
-    again: bool = False
+    allow_excluded: bool = False
 
 
 class ContinueElsewhere(NamedTuple):
@@ -86,7 +86,7 @@
 
     exclude: frozenset[str]
     after: int
-    again: bool = False
+    allow_excluded: bool = False
 
 
 class Deliver(NamedTuple):
@@ -126,7 +126,7 @@
     number: int
     end: AttemptEnd
     position: int = 0
-    target_holds: bool = False
+    target_has_attempt: bool = False
     continuable: bool = False
 
 
@@ -257,10 +257,10 @@
         self, send: Send, report: SendReport, progress: bool
     ) -> Decision:
         exclude = frozenset(self._targets)
-        again = report.end not in outcomes.PROVES_NOT_RUN
+        allow_excluded = report.end not in outcomes.PROVES_NOT_RUN
         if self._position == 0:
             self._record_end(report.end)
-            return TryElsewhere(exclude, again)
+            return TryElsewhere(exclude, allow_excluded)
         if self._may_resume(report, progress):
             self._resumes_without_progress = (
                 0 if progress else self._resumes_without_progress + 1
@@ -269,7 +269,7 @@
             return Resume(send.target, self._position)
         self._record_end(report.end)
         if report.continuable:
-            return ContinueElsewhere(exclude, self._position, again)
+            return ContinueElsewhere(exclude, self._position, allow_excluded)
         return self.give_up()
 
     def _record_end(self, end: AttemptEnd) -> None:
@@ -286,7 +286,7 @@
         self.ends.append(end)
 
     def _may_resume(self, report: SendReport, progress: bool) -> bool:
-        if not report.target_holds:
+        if not report.target_has_attempt:
             return False
         if report.end not in (AttemptEnd.BROKEN, AttemptEnd.LOST):
             return False
--- a/chervilrock/decisions/requests/keys.py
+++ b/chervilrock/decisions/requests/keys.py
@@ -135,7 +135,7 @@
         body = KeyFinished(name.key, name.workspace, outcome)
         self._queue.append(self._writer.prepare(body))
 
-    def take_batch(self) -> tuple[Record, ...]:
+    def start_batch(self) -> tuple[Record, ...]:
         """Returns the records to append next, empty if there are none.
 
         Nothing is returned while a batch is in flight.
@@ -160,7 +160,7 @@
             self._queue[:0] = self._batch
         self._batch = ()
 
-    def take_record(self, stored: StoredRecord) -> KeyDecision | None:
+    def apply_record(self, stored: StoredRecord) -> KeyDecision | None:
         """Applies a record read from the log; records must come in order.
 
         Returns:
--- a/chervilrock/decisions/requests/outcomes.py
+++ b/chervilrock/decisions/requests/outcomes.py
@@ -71,7 +71,7 @@
     return Outcome.UNKNOWN
 
 
-def judge_sends(end: AttemptEnd, *, repeated: bool) -> AttemptEnd:
+def judge_attempt_end(end: AttemptEnd, *, repeated: bool) -> AttemptEnd:
     """Returns how an attempt ended whose request may have been sent twice.
 
     A rejection proves nothing about an earlier send of the same attempt.
--- a/chervilrock/decisions/requests/memory.py
+++ b/chervilrock/decisions/requests/runregistry.py
@@ -88,7 +88,7 @@
         self.outcome = Outcome.UNKNOWN
 
 
-class RunMemory(Generic[Name]):
+class RunRegistry(Generic[Name]):
     """Requests that run at most once, by name, with their results.
 
     The total size of the answers is bounded: the oldest ones are dropped
@@ -123,7 +123,7 @@
         """Total size of the answers that are kept, in bytes."""
         return self._total_bytes
 
-    def list_ended(self) -> Iterator[Name]:
+    def list_completed(self) -> Iterator[Name]:
         """Yields the names of completed requests, oldest first."""
         for name, entry in self._entries.items():
             if not entry.running:
--- a/chervilrock/decisions/requests/tickets.py
+++ b/chervilrock/decisions/requests/tickets.py
@@ -9,15 +9,15 @@
 import collections
 from typing import NamedTuple
 
-from chervilrock.decisions.requests import memory
-from chervilrock.decisions.requests.memory import (
+from chervilrock.decisions.requests import runregistry
+from chervilrock.decisions.requests.runregistry import (
     Claim,
     ClaimKind,
     RecordedAnswer,
 )
 from chervilrock.generated.interfaces import Outcome
 
-TICKET_LIFE_S = 600.0
+TICKET_LIFETIME_S = 600.0
 """Time for which a ticket is valid after it was minted."""
 
 MAX_ENTRIES = 20_000
@@ -80,10 +80,10 @@
     def __init__(
         self,
         *,
-        lifetime_s: float = TICKET_LIFE_S,
+        lifetime_s: float = TICKET_LIFETIME_S,
         max_entries: int = MAX_ENTRIES,
-        max_answer_bytes: int = memory.MAX_ANSWER_BYTES,
-        max_total_bytes: int = memory.MAX_TOTAL_BYTES,
+        max_answer_bytes: int = runregistry.MAX_ANSWER_BYTES,
+        max_total_bytes: int = runregistry.MAX_TOTAL_BYTES,
     ) -> None:
         """Creates a table without tickets.
 
@@ -98,7 +98,7 @@
         self._sequence = 0
         self._low_water = 0
         self._marks: collections.deque[_Mark] = collections.deque()
-        self._memory: memory.RunMemory[int] = memory.RunMemory(
+        self._memory: runregistry.RunRegistry[int] = runregistry.RunRegistry(
             max_answer_bytes=max_answer_bytes, max_total_bytes=max_total_bytes
         )
 
@@ -174,7 +174,7 @@
 
     def _evict_oldest(self) -> None:
         """Evicts the oldest completed runs."""
-        completed = sorted(self._memory.list_ended())
+        completed = sorted(self._memory.list_completed())
         if completed:
             self._raise_low_water(
                 completed[len(completed) // _EVICTION_DIVISOR]
@@ -184,6 +184,6 @@
         if sequence <= self._low_water:
             return
         self._low_water = sequence
-        for number in list(self._memory.list_ended()):
+        for number in list(self._memory.list_completed()):
             if number <= sequence:
                 self._memory.forget(number)
--- a/chervilrock/decisions/requests/transcript.py
+++ b/chervilrock/decisions/requests/transcript.py
@@ -18,7 +18,7 @@
 _DATA_LINE = b"\ndata: "
 
 
-class Kept(NamedTuple):
+class PartialText(NamedTuple):
     """Text of an answer that broke off.
 
     Attributes:
@@ -82,7 +82,7 @@
         if len(self._pending) >= _BATCH_CHUNKS:
             self._decode_batch()
 
-    def read(self) -> Kept | None:
+    def read(self) -> PartialText | None:
         """Returns the text so far.
 
         Returns:
@@ -93,7 +93,7 @@
         if self._form is not _Form.TEXT:
             return None
         self._texts = ["".join(self._texts)]
-        return Kept(text=self._texts[0], finished=self._finished)
+        return PartialText(text=self._texts[0], finished=self._finished)
 
     def _decode_batch(self) -> None:
         batch = b"".join(self._pending)
--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -3,7 +3,7 @@
 from chervilrock.decisions.requests import attempts
 from chervilrock.decisions.requests.attempts import Send, SendMode, SendReport
 from chervilrock.decisions.requests.outcomes import AttemptEnd
-from chervilrock.decisions.requests.transcript import Kept, Transcript
+from chervilrock.decisions.requests.transcript import PartialText, Transcript
 from chervilrock.decisions.routing.base import Endpoint, RequestView
 from chervilrock.edges import enginecalls, progress
 from chervilrock.edges.bodies import CompletionCall
@@ -146,7 +146,7 @@
             chosen = policy.choose(
                 view, endpoints, now, exclude=decision.exclude
             )
-        if chosen is None and decision.again:
+        if chosen is None and decision.allow_excluded:
             chosen = policy.choose(view, endpoints, now)
         return chosen
 
@@ -200,7 +200,7 @@
         kept = self._read_kept()
         return None if kept is None else kept.text
 
-    def _read_kept(self) -> Kept | None:
+    def _read_kept(self) -> PartialText | None:
         return None if self._transcript is None else self._transcript.read()
 
     def _stop(self) -> None:
@@ -237,7 +237,7 @@
             number=send.number,
             end=end,
             position=self._position,
-            target_holds=self._path.holds(endpoint),
+            target_has_attempt=self._path.holds(endpoint),
             continuable=kept is not None,
         )
         decision = self._tracker.finish(report, self._context.now())
@@ -247,7 +247,7 @@
         self._cancel(endpoint, send, end)
         if isinstance(decision, _NEW_RUNS):
             may_retry = self._take_retry(end)
-            moves = self._position > 0 or not report.target_holds
+            moves = self._position > 0 or not report.target_has_attempt
             if not may_retry and not moves:
                 return self._tracker.give_up()
         return decision
@@ -269,7 +269,7 @@
         else:
             self._sink.finish()
 
-    def _finish_text(self, kept: Kept) -> bool:
+    def _finish_text(self, kept: PartialText) -> bool:
         """Ends a broken stream of which only the last event is missing."""
         if not kept.finished or self._call.wants_usage:
             return False
--- a/chervilrock/edges/enginecalls.py
+++ b/chervilrock/edges/enginecalls.py
@@ -161,7 +161,7 @@
             not_run_header=has_not_run_header(self._head),
             code=self.refusal.code,
         )
-        return outcomes.judge_sends(judged, repeated=end.repeated)
+        return outcomes.judge_attempt_end(judged, repeated=end.repeated)
 
 
 class StreamReceiver(EngineReceiver):
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -1,9 +1,9 @@
 """Requests with a key that the caller chose."""
 
-from chervilrock.decisions.requests import memory
+from chervilrock.decisions.requests import runregistry
 from chervilrock.decisions.requests.keyfold import KeyName
 from chervilrock.decisions.requests.keys import COMPLETE, KeyVerdict
-from chervilrock.decisions.requests.memory import (
+from chervilrock.decisions.requests.runregistry import (
     Claim,
     ClaimKind,
     RecordedAnswer,
@@ -40,7 +40,7 @@
           path: request path of the node.
         """
         self._context = path.context
-        self._memory: memory.RunMemory[KeyName] = memory.RunMemory()
+        self._memory: runregistry.RunRegistry[KeyName] = runregistry.RunRegistry()
         self._runs: once.OnceRuns[KeyName] = once.OnceRuns(path=path)
 
     async def answer(
@@ -124,6 +124,6 @@
     def _make_room(self) -> None:
         """Forgets the oldest run; the log still knows of its key."""
         if len(self._memory) >= MAX_ENTRIES:
-            oldest = next(self._memory.list_ended(), None)
+            oldest = next(self._memory.list_completed(), None)
             if oldest is not None:
                 self._memory.forget(oldest)
--- a/chervilrock/edges/observer.py
+++ b/chervilrock/edges/observer.py
@@ -111,7 +111,7 @@
         ok = end is AttemptEnd.COMPLETE
         self._context.policy.on_done(self._view, endpoint, now, ok, tokens)
         if refusal.status == _STATUS_TOO_MANY_REQUESTS:
-            self._context.admission.observe_refusal(endpoint.group, now)
+            self._context.admission.observe_overload(endpoint.group, now)
 
     def note_broken(
         self, endpoint: Endpoint, end: AttemptEnd, position: int
--- a/chervilrock/edges/once.py
+++ b/chervilrock/edges/once.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Hashable
 from typing import Generic, TypeVar
 
-from chervilrock.decisions.requests.memory import (
+from chervilrock.decisions.requests.runregistry import (
     Claim,
     make_fingerprint,
     RecordedAnswer,
--- a/chervilrock/edges/recordings.py
+++ b/chervilrock/edges/recordings.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from chervilrock.decisions.requests.memory import (
+from chervilrock.decisions.requests.runregistry import (
     MAX_ANSWER_BYTES,
     RecordedAnswer,
 )
--- a/chervilrock/edges/servicecalls.py
+++ b/chervilrock/edges/servicecalls.py
@@ -7,7 +7,7 @@
 from chervilrock.decisions.requests.attempts import Send
 from chervilrock.decisions.requests.outcomes import (
     AttemptEnd,
-    judge_sends,
+    judge_attempt_end,
     judge_service_answer,
 )
 from chervilrock.decisions.routing.base import RequestView
@@ -204,7 +204,7 @@
         judged = self._judge_head()
         if judged is AttemptEnd.COMPLETE and end.error:
             return AttemptEnd.BROKEN
-        return judge_sends(judged, repeated=end.repeated)
+        return judge_attempt_end(judged, repeated=end.repeated)
 
     def finish(self) -> None:
         """Passes on what is kept of a whole answer, and its end."""
--- a/chervilrock/edges/services.py
+++ b/chervilrock/edges/services.py
@@ -105,7 +105,7 @@
         chosen = policy.choose(
             self.view, endpoints, now, exclude=decision.exclude
         )
-        if chosen is None and decision.again:
+        if chosen is None and decision.allow_excluded:
             chosen = policy.choose(self.view, endpoints, now)
         return chosen
 
--- a/chervilrock/edges/tickets.py
+++ b/chervilrock/edges/tickets.py
@@ -1,7 +1,7 @@
 """Requests that carry a ticket: run once, joined, replayed or passed on."""
 
 from chervilrock.decisions.requests import tickets
-from chervilrock.decisions.requests.memory import ClaimKind, RecordedAnswer
+from chervilrock.decisions.requests.runregistry import ClaimKind, RecordedAnswer
 from chervilrock.decisions.requests.tickets import TicketId
 from chervilrock.edges import once, servicecalls
 from chervilrock.edges.dispatch import CallerRequest, Prepared
@@ -54,7 +54,7 @@
         ticket = TicketId(self._context.incarnation, sequence)
         return Ticket(
             ticket=tickets.format_ticket(ticket),
-            expires_s=tickets.TICKET_LIFE_S,
+            expires_s=tickets.TICKET_LIFETIME_S,
         )
 
     def is_own(self, ticket: TicketId) -> bool:
--- a/chervilrock/tasks/keys.py
+++ b/chervilrock/tasks/keys.py
@@ -119,7 +119,7 @@
             self._append = None
             self._claims.note_appended(ok=message.ok)
         elif isinstance(message, PageRead):
-            decisions = map(self._claims.take_record, message.page.records)
+            decisions = map(self._claims.apply_record, message.page.records)
             self._tell(tuple(one for one in decisions if one is not None))
 
     def _take_claim(self, command: ClaimCommand, now: float) -> None:
@@ -143,7 +143,7 @@
     def _start_append(self) -> None:
         if self._append is not None:
             return
-        batch = self._claims.take_batch()
+        batch = self._claims.start_batch()
         if batch:
             self.appends += 1
             self._append = asyncio.create_task(self._send(batch))
--- a/test/decisions/limits/test_admission.py
+++ b/test/decisions/limits/test_admission.py
@@ -230,7 +230,7 @@
     def receive_peer_uses(self, peers, in_flight):
         use = interfaces.WorkspaceUse("bounded", in_flight, 0, 1)
         self.admission.observe_members(["b", "c"], self.now)
-        self.admission.observe_peer_shares(
+        self.admission.observe_peer_uses(
             [interfaces.NodeUse(peer, 100, (use,)) for peer in peers],
             self.now,
         )
--- a/test/decisions/membership/peer_world.py
+++ b/test/decisions/membership/peer_world.py
@@ -68,7 +68,7 @@
     def shares(self, now: float) -> tuple[NodeUse, ...]:
         return self.uses
 
-    def observe_peer_shares(self, uses: object, now: float) -> None:
+    def observe_peer_uses(self, uses: object, now: float) -> None:
         self.seen += uses  # type: ignore[arg-type]
 
     def observe_members(self, members: object, now: float) -> None:
--- a/test/decisions/requests/worlds.py
+++ b/test/decisions/requests/simulation.py
@@ -128,7 +128,7 @@
             number=send.number,
             end=end,
             position=self._position(),
-            target_holds=step.serves,
+            target_has_attempt=step.serves,
             continuable=self.script.continuable,
         )
         next_decision = self.tracker.finish(report, self.now)
@@ -144,7 +144,7 @@
             decision, attempts.TryElsewhere | attempts.ContinueElsewhere
         )
         available = [name for name in GROUPS if name not in decision.exclude]
-        assert available or decision.again or decision.exclude
+        assert available or decision.allow_excluded or decision.exclude
         mode = (
             SendMode.START
             if isinstance(decision, attempts.TryElsewhere)
--- a/test/decisions/requests/test_promises.py
+++ b/test/decisions/requests/test_guarantees.py
@@ -12,7 +12,7 @@
 from chervilrock.decisions.requests.outcomes import AttemptEnd
 from chervilrock.decisions.requests.positions import StreamPositions
 from chervilrock.generated.interfaces import Outcome
-from test.decisions.requests.worlds import RequestSimulation, Script, SCRIPTS
+from test.decisions.requests.simulation import RequestSimulation, Script, SCRIPTS
 
 EXAMPLES = 300
 
@@ -69,7 +69,7 @@
         number=send.number,
         end=AttemptEnd.BROKEN,
         position=2,
-        target_holds=True,
+        target_has_attempt=True,
     )
     assert tracker.finish(report, 0.0) == attempts.Resume("a", 2)
     send = tracker.begin("a", SendMode.RESUME)
--- a/test/decisions/requests/test_keys.py
+++ b/test/decisions/requests/test_keys.py
@@ -74,7 +74,7 @@
     )
     def append(self, number: int, result: str) -> None:
         node = self.nodes[number]
-        batch = node.claims.take_batch()
+        batch = node.claims.start_batch()
         if not batch:
             return
         if result in ("stored", "unanswered"):
@@ -102,7 +102,7 @@
         for record in self.log[node.read_count : node.read_count + count]:
             node.read_count += 1
             stored = StoredRecord(node.read_count, record)
-            self._record_decision(node, node.claims.take_record(stored))
+            self._record_decision(node, node.claims.apply_record(stored))
 
     @rule(seconds=st.sampled_from([0.5, 0.5, WAIT_S]))
     def wait(self, seconds: float) -> None:
@@ -178,15 +178,15 @@
     node = Node(0)
     log: list[Record] = []
     node.claims.claim(NAMES[0], 0.0)
-    log += node.claims.take_batch()
+    log += node.claims.start_batch()
     node.claims.note_appended(ok=False)
     (decision,) = node.claims.expire(WAIT_S)
     assert decision.verdict is KeyVerdict.NOT_RUN
     node.claims.note_appended(ok=True)
     assert node.claims.claim(NAMES[0], WAIT_S) is KeyVerdict.WAIT
-    log += node.claims.take_batch()
+    log += node.claims.start_batch()
     decisions = [
-        node.claims.take_record(StoredRecord(offset, record))
+        node.claims.apply_record(StoredRecord(offset, record))
         for offset, record in enumerate(log, start=1)
     ]
     expected = KeyDecision(NAMES[0], KeyVerdict.DISPATCH)
@@ -201,16 +201,16 @@
     node = Node(0)
     for number in range(keys.MAX_BATCH + 1):
         node.claims.claim(KeyName("w", str(number)), 0.0)
-    assert_that(len(node.claims.take_batch()), Equals(keys.MAX_BATCH))
-    assert node.claims.take_batch() == ()
+    assert_that(len(node.claims.start_batch()), Equals(keys.MAX_BATCH))
+    assert node.claims.start_batch() == ()
     node.claims.note_appended(ok=True)
-    assert_that(len(node.claims.take_batch()), Equals(1))
+    assert_that(len(node.claims.start_batch()), Equals(1))
 
 
 def test_claim_during_an_outage_is_rejected_at_once() -> None:
     node = Node(0)
     node.claims.claim(NAMES[0], 0.0)
-    node.claims.take_batch()
+    node.claims.start_batch()
     node.claims.note_appended(ok=False)
     assert node.claims.claim(NAMES[1], 0.0) is KeyVerdict.NOT_RUN
 
@@ -219,12 +219,12 @@
     first, second = Node(0), Node(1)
     first.claims.claim(NAMES[0], 0.0)
     first.claims.claim(NAMES[1], 0.0)
-    log = list(first.claims.take_batch())
+    log = list(first.claims.start_batch())
     first.claims.note_appended(ok=True)
     first.claims.finish(NAMES[0], COMPLETE)
     first.claims.finish(NAMES[1], Outcome.FAILED)
-    log += first.claims.take_batch()
+    log += first.claims.start_batch()
     for offset, record in enumerate(log, start=1):
-        second.claims.take_record(StoredRecord(offset, record))
+        second.claims.apply_record(StoredRecord(offset, record))
     assert second.claims.claim(NAMES[0], 0.0) is KeyVerdict.TAKEN
     assert second.claims.claim(NAMES[1], 0.0) is KeyVerdict.FAILED
--- a/test/decisions/requests/test_positions.py
+++ b/test/decisions/requests/test_positions.py
@@ -12,7 +12,7 @@
     StreamFault,
     StreamPositions,
 )
-from test.decisions.requests.worlds import (
+from test.decisions.requests.simulation import (
     EVENTS,
     make_event,
     REQUEST_ID,
--- a/test/decisions/requests/test_tickets.py
+++ b/test/decisions/requests/test_tickets.py
@@ -11,7 +11,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from chervilrock.decisions.requests.memory import (
+from chervilrock.decisions.requests.runregistry import (
     ClaimKind,
     make_fingerprint,
     RecordedAnswer,
--- a/test/decisions/requests/test_transcript.py
+++ b/test/decisions/requests/test_transcript.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from chervilrock.decisions.requests.transcript import Kept, Transcript
+from chervilrock.decisions.requests.transcript import PartialText, Transcript
 
 
 def make_event(number: int, data: object) -> bytes:
@@ -31,7 +31,7 @@
     transcript = Transcript()
     for start in range(0, len(events), chunk_events):
         transcript.add(b"".join(events[start : start + chunk_events]))
-    expected = Kept(text="".join(texts), finished=False)
+    expected = PartialText(text="".join(texts), finished=False)
     assert transcript.read() == expected
     assert transcript.read() == expected
 
@@ -42,7 +42,7 @@
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
     transcript.add(make_event(2, {"choices": [choice]}))
     transcript.add(make_event(3, {"choices": [], "usage": {}}))
-    assert transcript.read() == Kept(text="a", finished=True)
+    assert transcript.read() == PartialText(text="a", finished=True)
 
 
 NOT_A_SINGLE_TEXT = [
--- a/test/edges/sites.py
+++ b/test/edges/sites.py
@@ -184,13 +184,13 @@
         self._settle_keys()
 
     def _settle_keys(self) -> list[KeyDecision]:
-        self.key_log.records += self.claims.take_batch()
+        self.key_log.records += self.claims.start_batch()
         self.claims.note_appended(ok=True)
         decisions = []
         for record in self.key_log.records[self._keys_read :]:
             self._keys_read += 1
             stored = StoredRecord(self._keys_read, record)
-            decisions.append(self.claims.take_record(stored))
+            decisions.append(self.claims.apply_record(stored))
         return [decision for decision in decisions if decision is not None]
 
     def set_serving(self, endpoints: list[Endpoint]) -> None:
--- a/test/history/mutations.py
+++ b/test/history/mutations.py
@@ -5,7 +5,7 @@
 from chervilrock.decisions.configurations import ConfigurationFold
 from chervilrock.decisions.presence import PresenceTable
 from chervilrock.decisions.requests import outcomes
-from chervilrock.decisions.requests.memory import ClaimKind, RunMemory
+from chervilrock.decisions.requests.runregistry import ClaimKind, RunRegistry
 from chervilrock.edges.relay import BackendRequest, Receiver, Transfer
 from chervilrock.edges.sinks import CallerSink
 from chervilrock.generated.interfaces import Outcome
@@ -38,7 +38,7 @@
 
 def forget_runs():
     """Run whatever a ticket is shown for, once it has run."""
-    original = RunMemory.find
+    original = RunRegistry.find
 
     def find(self, name, fingerprint):
         claim = original(self, name, fingerprint)
@@ -46,7 +46,7 @@
             return None
         return claim
 
-    return mock.patch.object(RunMemory, "find", find)
+    return mock.patch.object(RunRegistry, "find", find)
 
 
 def deny_runs():
