--- a/bench/entry_model.py
+++ b/bench/entry_model.py
@@ -305,10 +305,10 @@
         node = request.arrival.node
         endpoint = request.attempts[number]
         now = self.now + self._latency(node, endpoint)
-        waited = now - request.sent_at[number]
-        self.policies[node].on_first_token(request.view, endpoint, now, waited)
+        waited_s = now - request.sent_at[number]
+        self.policies[node].on_first_token(request.view, endpoint, now, waited_s)
         self.admissions[node].observe_first_token(
-            request.view.request_id, endpoint.group, waited, now
+            request.view.request_id, endpoint.group, waited_s, now
         )
         if request.first_s is None:
             request.first_s = now - request.arrival.time
--- a/chervilrock/decisions/routing/affinity.py
+++ b/chervilrock/decisions/routing/affinity.py
@@ -116,15 +116,15 @@
         request: base.RequestView,
         endpoint: base.Endpoint,
         now: float,
-        waited: float,
+        waited_s: float,
     ) -> None:
         """Update the prefill speed of the group."""
         group = endpoint.group
         if self._attempts.note_first_token(
-            request.request_id, group, waited, now
+            request.request_id, group, waited_s, now
         ):
             self._stragglers.on_first_token(
-                group, request.request_id, waited, now
+                group, request.request_id, waited_s, now
             )
 
     def on_progress(
--- a/chervilrock/decisions/routing/attempts.py
+++ b/chervilrock/decisions/routing/attempts.py
@@ -59,7 +59,7 @@
         return CACHED_FIRST_TOKEN_S + self._prefill_s_per_token * pending_tokens
 
     def note_first_token(
-        self, request_id: str, group: str, waited: float, now: float
+        self, request_id: str, group: str, waited_s: float, now: float
     ) -> bool:
         """Record the first token; return False if it was recorded already.
 
@@ -74,7 +74,7 @@
         self._subtract_pending(group, attempt.uncached_tokens)
         if attempt.uncached_tokens > MIN_PREFILL_TOKENS:
             self._update_prefill_speed(
-                max(0.0, waited - CACHED_FIRST_TOKEN_S)
+                max(0.0, waited_s - CACHED_FIRST_TOKEN_S)
                 / attempt.uncached_tokens
             )
         return True
--- a/chervilrock/decisions/routing/base.py
+++ b/chervilrock/decisions/routing/base.py
@@ -118,10 +118,10 @@
         request: RequestView,
         endpoint: Endpoint,
         now: float,
-        waited: float,
+        waited_s: float,
     ) -> None:
         """Handle a first token that came `waited_s` seconds after sending."""
-        del request, endpoint, now, waited
+        del request, endpoint, now, waited_s
 
     def on_progress(
         self,
--- a/chervilrock/decisions/routing/baselines.py
+++ b/chervilrock/decisions/routing/baselines.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from chervilrock.decisions.routing import base
-from chervilrock.decisions.routing import flights as inflight_counts
+from chervilrock.decisions.routing import inflight as inflight_counts
 
 if TYPE_CHECKING:
     import random
--- a/chervilrock/decisions/routing/loads.py
+++ b/chervilrock/decisions/routing/loads.py
@@ -3,7 +3,7 @@
 import collections
 from typing import NamedTuple
 
-from chervilrock.decisions.routing import flights
+from chervilrock.decisions.routing import inflight
 from chervilrock.generated import interfaces
 
 REPORT_LIFETIME_S = 3.0
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         """Create loads without reports and attempts."""
-        self._in_flight = flights.InFlightAttempts()
+        self._in_flight = inflight.InFlightAttempts()
         self._reports: dict[str, _Report] = {}
         self._history: dict[str, collections.deque[_CountChange]] = {}
         self._max_batch = 0.0
--- a/chervilrock/decisions/routing/stragglers.py
+++ b/chervilrock/decisions/routing/stragglers.py
@@ -137,7 +137,7 @@
             )
 
     def on_first_token(
-        self, group: str, request_id: str, waited: float, now: float
+        self, group: str, request_id: str, waited_s: float, now: float
     ) -> None:
         """Record the time to the first token of an attempt, in seconds."""
         state = self._get_stats(group)
@@ -145,7 +145,7 @@
         state.failures = 0
         if pending is None:
             return
-        sample = _log(waited / max(pending.expected_s, MIN_EXPECTED_S))
+        sample = _log(waited_s / max(pending.expected_s, MIN_EXPECTED_S))
         self._start_sample(state, now)
         state.first_token.observe(sample, FIRST_TOKEN_WEIGHT)
         log_ratio = sample - self._medians(now).first_token
--- a/chervilrock/edges/observer.py
+++ b/chervilrock/edges/observer.py
@@ -75,13 +75,13 @@
         """Tells of the first event of a send."""
         self.answered = True
         now = self._context.now()
-        waited = now - self._sent_at
-        self._context.policy.on_first_token(self._view, endpoint, now, waited)
+        waited_s = now - self._sent_at
+        self._context.policy.on_first_token(self._view, endpoint, now, waited_s)
         if self._first_seen:
             return
         self._first_seen = True
         self._context.admission.observe_first_token(
-            self._view.request_id, endpoint.group, waited, now
+            self._view.request_id, endpoint.group, waited_s, now
         )
         self._context.metrics.observe_first_token(
             model=self._view.model, seconds=now - self._arrived
--- a/test/decisions/routing/test_beliefs.py
+++ b/test/decisions/routing/test_groupestimates.py
@@ -7,7 +7,7 @@
 from chervilrock.decisions.routing import (
     attempts,
     base,
-    flights,
+    inflight,
     known_groups,
     loads,
     prefixes,
@@ -63,7 +63,7 @@
 
 
 def test_end_that_comes_twice_is_counted_once():
-    in_flight = flights.InFlightAttempts()
+    in_flight = inflight.InFlightAttempts()
     in_flight.add("1", "g")
     in_flight.add("2", "g")
     assert_that(in_flight.discard("1", "g"), Equals(True))
--- a/test/decisions/routing/test_policies.py
+++ b/test/decisions/routing/test_policies.py
@@ -55,11 +55,11 @@
     return affinity.PrefixAffinity(rng=random.Random(1), data_centre="dc0")
 
 
-def serve(policy, request, endpoint, now, *, waited=0.05, per_token=0.02):
+def serve(policy, request, endpoint, now, *, waited_s=0.05, per_token=0.02):
     """Record an attempt that a group answers with ten tokens."""
     policy.on_sent(request, endpoint, now)
-    policy.on_first_token(request, endpoint, now + waited, waited)
-    end = now + waited + 9 * per_token
+    policy.on_first_token(request, endpoint, now + waited_s, waited_s)
+    end = now + waited_s + 9 * per_token
     policy.on_done(request, endpoint, end, True, 10)
 
 
@@ -205,7 +205,7 @@
             request,
             chosen,
             now,
-            waited=0.6 if is_slow else 0.06,
+            waited_s=0.6 if is_slow else 0.06,
             per_token=0.2 if is_slow else 0.02,
         )
     return hits, now
--- a/test/edges/test_observer.py
+++ b/test/edges/test_observer.py
@@ -49,9 +49,9 @@
         request: RequestView,
         endpoint: Endpoint,
         now: float,
-        waited: float,
+        waited_s: float,
     ) -> None:
-        assert waited >= 0.0
+        assert waited_s >= 0.0
         self.first.append(endpoint.group)
 
     def on_progress(
