--- a/chervilrock/decisions/control/context.py
+++ b/chervilrock/decisions/control/context.py
@@ -71,7 +71,7 @@
     lease_ends_at: float
     timing: ControlTiming
     now: float
-    wholes: dict[tuple[str, int], bool]
+    whole_groups: dict[tuple[str, int], bool]
 
     def find_evidence(self, host: str) -> Evidence | None:
         """Return the evidence of a host within the age limit."""
@@ -91,9 +91,9 @@
     def is_whole(self, group: Group) -> bool:
         """Return whether all hosts of a group are present and ready."""
         key = (group.name, group.fence)
-        known = self.wholes.get(key)
+        known = self.whole_groups.get(key)
         if known is None:
-            known = self.wholes[key] = self.presence.whole(group, self.now)
+            known = self.whole_groups[key] = self.presence.whole(group, self.now)
         return known
 
     def is_serving(self, group: Group) -> bool:
--- a/chervilrock/decisions/control/release.py
+++ b/chervilrock/decisions/control/release.py
@@ -54,7 +54,7 @@
             yield from _unload(context, host, ownership)
 
 
-def empty_strays(context: ControlContext) -> Iterator[Effect]:
+def unload_free_hosts(context: ControlContext) -> Iterator[Effect]:
     """Yield orders to unload free hosts that still hold a shard.
 
     Only an engine that does not check fencing numbers needs this; any other
@@ -82,7 +82,7 @@
     evidence = context.find_evidence(host)
     if evidence is None or not _is_empty(evidence):
         return False
-    quiet_at = find_quiet(context, host)
+    quiet_at = find_quiet_time(context, host)
     if context.checks_fence(host):
         seen = evidence.fence >= ownership.revoked
         return seen and context.now >= quiet_at
@@ -92,7 +92,7 @@
     return evidence.sent_at > unloaded_at
 
 
-def find_quiet(context: ControlContext, host: str) -> float:
+def find_quiet_time(context: ControlContext, host: str) -> float:
     """Return the time from which no order to load can be in flight."""
     loaded_at = context.progress.find_load_time(host)
     if loaded_at is None:
@@ -126,7 +126,7 @@
     if entry is None:
         return
     progress = context.progress
-    quiet_at = find_quiet(context, host)
+    quiet_at = find_quiet_time(context, host)
     checks_fence = context.checks_fence(host)
     unloaded_at = progress.find_unload_time(host)
     if not checks_fence and unloaded_at is not None and unloaded_at >= quiet_at:
--- a/chervilrock/decisions/controller.py
+++ b/chervilrock/decisions/controller.py
@@ -21,10 +21,10 @@
 from chervilrock.decisions.control.progress import Progress
 from chervilrock.decisions.control.release import (
     clear_hosts,
-    empty_strays,
+    unload_free_hosts,
     release_hosts,
 )
-from chervilrock.decisions.control.requests import perform_actions
+from chervilrock.decisions.control.plannedactions import perform_actions
 from chervilrock.decisions.control.rollout import (
     choose_drains,
     drain_group,
@@ -92,7 +92,7 @@
         lease_ends_at=lease.holder.until,
         timing=timing,
         now=now,
-        wholes={(group.name, group.fence): True for group in whole},
+        whole_groups={(group.name, group.fence): True for group in whole},
     )
     return tuple(_decide_all(context))
 
@@ -106,7 +106,7 @@
         yield from change_phase(context, group, GroupPhase.DRAINING)
     yield from release_hosts(context)
     yield from clear_hosts(context)
-    yield from empty_strays(context)
+    yield from unload_free_hosts(context)
     for effect in perform_actions(context):
         if not _drains_second(context, effect, drained):
             yield effect
