--- a/chervilrock/decisions/membership/__init__.py
+++ b/chervilrock/decisions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes there are, and which of them callers should use."""
+"""Membership of nodes, and the nodes that callers should use."""
--- a/chervilrock/decisions/membership/addresses.py
+++ b/chervilrock/decisions/membership/addresses.py
@@ -1,10 +1,10 @@
-"""Which addresses callers should use.
+"""Selection of the node addresses that callers should use.
 
-Callers cache the answer, some for long, and many always take the first
-address. So the order is drawn anew for each answer, in proportion to spare
-capacity, and an answer names nodes of several data centres: a caller whose
-data centre is lost still knows where to go. A node that leaves first
-disappears from the answers and then waits until cached ones have aged.
+Callers cache the answer, some for a long time, and many always use the first
+address. The order is therefore random for each answer, weighted by spare
+capacity, and an answer contains nodes of several data centres, so that a
+caller still has an address when its data centre is lost. A node that leaves
+is first omitted from the answers and then waits until cached ones expire.
 """
 
 import math
@@ -22,29 +22,29 @@
     import random
 
 FULL_WEIGHT = 100
-LEAST_WEIGHT = 1
-OVERLOAD = 1.0
+MIN_WEIGHT = 1
+FULL_LOAD = 1.0
 
 MAX_ADDRESSES = 16
-"""Greatest number of addresses in an answer."""
+"""Maximum number of addresses in an answer."""
 
 MAX_NEAR = 12
-"""Addresses of the caller's data centre, when there are others too."""
+"""Maximum number of addresses of the caller's data centre, if others exist."""
 
 SPILL_SPARE = 0.2
-"""Mean spare capacity of a data centre below which callers go elsewhere."""
+"""Mean spare capacity of a data centre below which callers spill over."""
 
 MAX_DRAWN = 24
-"""Nodes elsewhere to draw from, in the region and in other regions."""
+"""Maximum sample of nodes of other data centres, per same or other region."""
 
 REGION_DIVISOR = 20.0
-"""Nodes of another region are drawn so much more rarely."""
+"""Factor by which nodes of another region are drawn less often."""
 
 
 def weigh_node(load: float) -> int:
-    """Return the share of new callers for a node with this load."""
-    spare = 1.0 - min(max(load, 0.0), OVERLOAD)
-    return max(LEAST_WEIGHT, round(FULL_WEIGHT * spare))
+    """Return the weight for new callers of a node with this load."""
+    spare = 1.0 - min(max(load, 0.0), FULL_LOAD)
+    return max(MIN_WEIGHT, round(FULL_WEIGHT * spare))
 
 
 def answer_addresses(
@@ -55,17 +55,17 @@
     ttl_s: float,
     generator: "random.Random",
 ) -> AddressAnswer:
-    """Return the addresses for a caller, those to try first in front.
+    """Return the addresses for a caller in the order to try them.
 
-    The answer is never empty: a node that knows of no serving node names
-    itself.
+    The answer is never empty: without any serving node it contains the
+    answering node.
 
     Args:
-      live: the nodes that live now
-      own: entry of the answering node
+      live: the live nodes
+      own: the entry of the answering node
       data_centre: data centre of the caller
       ttl_s: time to live of the answer in seconds
-      generator: draws the order
+      generator: the source of randomness for the order
     """
     serving = [peer for peer in live if peer.phase == NodePhase.SERVING]
     near = [peer for peer in serving if peer.data_centre == data_centre]
@@ -87,7 +87,7 @@
     """Return the share of callers that stay in their data centre, 0 to 1."""
     if not near:
         return 0.0
-    spare = sum(1.0 - min(max(peer.load, 0.0), OVERLOAD) for peer in near)
+    spare = sum(1.0 - min(max(peer.load, 0.0), FULL_LOAD) for peer in near)
     return min(1.0, spare / len(near) / SPILL_SPARE)
 
 
@@ -97,9 +97,9 @@
     region: str,
     generator: "random.Random",
 ) -> list[PeerNode]:
-    """Draw some nodes of other data centres, of the region and of others.
+    """Sample nodes of other data centres, in the same and other regions.
 
-    Weighing all of 400 nodes would cost more than the rest of an answer.
+    Weighting all of 400 nodes would cost more than the rest of an answer.
     """
     drawn = []
     for same in (True, False):
@@ -116,7 +116,7 @@
 def _draw_order(
     peers: "Sequence[PeerNode]", region: str, generator: "random.Random"
 ) -> list[PeerNode]:
-    """Draw an order where the first place goes by weight."""
+    """Draw a random order in which the first node is chosen by weight."""
 
     def draw(peer: PeerNode) -> float:
         divisor = 1.0 if peer.region == region else REGION_DIVISOR
@@ -127,13 +127,13 @@
 
 
 def _join(first: list[PeerNode], rest: list[PeerNode]) -> list[PeerNode]:
-    """Join two lists; leave room for some of the second one."""
+    """Join two lists, reserving space for some entries of the second."""
     kept = first[: max(MAX_NEAR, MAX_ADDRESSES - len(rest))]
     return [*kept, *rest][:MAX_ADDRESSES]
 
 
 def _make_entry(peer: PeerNode, share: float) -> AddressEntry:
-    """Return the entry; nodes that only stand by have the weight 0."""
+    """Return the entry of a node; nodes used only as fallback have weight 0."""
     return AddressEntry(
         address=peer.address,
         data_centre=peer.data_centre,
--- a/chervilrock/decisions/membership/clocks.py
+++ b/chervilrock/decisions/membership/clocks.py
@@ -1,8 +1,9 @@
-"""The age of news, told by counters that are clocks.
+"""Estimates of the age of updates from counters that run like clocks.
 
-No two hosts share a clock, but each counter of the exchange counts tenths of
-a second. The least difference between the own clock and a counter that was
-ever seen is that of news without delay, so the age of later news follows.
+Hosts have no common clock, but each counter of the exchange counts tenths of
+a second. The smallest observed difference between the local clock and a
+counter belongs to an update without delay; the age of later updates follows
+from it.
 """
 
 TICK_S = 0.1
@@ -10,24 +11,24 @@
 
 MAX_COUNTER = 2**53
 MAX_DRIFT = 0.001
-"""Greatest difference between the rates of two clocks."""
+"""Maximum relative difference between the rates of two clocks."""
 
 
 class ClockEstimate:
-    """When a counter of another node had a value, on the own clock."""
+    """Estimates when a counter of another node had a value, in local time."""
 
-    __slots__ = ("_offset", "_sampled")
+    __slots__ = ("_offset", "_sampled_at")
 
     def __init__(self, *, counter: int, now: float) -> None:
-        """Take the first value, as if it had come without delay."""
+        """Create an estimate that assumes no delay for the first value."""
         self._offset = now - counter * TICK_S
-        self._sampled = now
+        self._sampled_at = now
 
-    def take(self, counter: int, now: float) -> float:
-        """Take a value and return when it was sent."""
-        drifted = self._offset + MAX_DRIFT * (now - self._sampled)
+    def update(self, counter: int, now: float) -> float:
+        """Add a value and return the estimated time at which it was sent."""
+        drifted = self._offset + MAX_DRIFT * (now - self._sampled_at)
         self._offset = min(drifted, now - counter * TICK_S)
-        self._sampled = now
+        self._sampled_at = now
         return counter * TICK_S + self._offset
 
     def expect(self, now: float) -> int:
@@ -36,24 +37,24 @@
 
 
 class Counter:
-    """A counter of this node, which others may set forward."""
+    """A counter of this node, which other nodes may advance."""
 
     def __init__(self) -> None:
-        """Start with 0 at the first reading."""
+        """Create a counter that is 0 at the first reading."""
         self._value = 0
-        self._read: float | None = None
+        self._read_at: float | None = None
 
     def read(self, now: float) -> int:
-        """Return the value at a time; it never goes back."""
-        if self._read is None or now < self._read:
-            self._read = now
-        passed = int((now - self._read) / TICK_S)
+        """Return the value at a time; it never decreases."""
+        if self._read_at is None or now < self._read_at:
+            self._read_at = now
+        passed = int((now - self._read_at) / TICK_S)
         self._value += passed
-        self._read += passed * TICK_S
+        self._read_at += passed * TICK_S
         return self._value
 
     def advance(self, value: int, now: float) -> None:
-        """Set the counter forward to a value that another node told."""
+        """Advance the counter to a value that another node reported."""
         if self.read(now) < value < MAX_COUNTER:
             self._value = value
-            self._read = now
+            self._read_at = now
--- a/chervilrock/decisions/membership/contact.py
+++ b/chervilrock/decisions/membership/contact.py
@@ -1,50 +1,62 @@
-"""Whether a node may judge others: a node cut off must first look around.
+"""Whether a node has enough recent contact to report for its data centre.
 
-A node that was paused or cut off has old news of all others. When it is back
-it would call live nodes dead, and tell other data centres so. So it speaks
-for its data centre only after a neighbour agrees with it, or after it has
-been in touch for as long as it takes to notice a dead node.
+A node that was paused or isolated has outdated state of all others. When it
+recovers it would report live nodes as dead to other data centres. It therefore
+reports for its data centre only after a neighbour agrees with its members, or
+after it has exchanged for as long as the detection of a dead node takes.
 """
 
 
 class Contact:
-    """When this node was in touch with other nodes."""
+    """Tracks when this node exchanged with other nodes."""
 
     def __init__(self) -> None:
-        self._since: float | None = None
-        self._last = 0.0
-        self._agreed: float | None = None
+        self._connected_since: float | None = None
+        self._last_exchange_at = 0.0
+        self._agreed_at: float | None = None
 
     def note_exchange(self, now: float, gap_s: float) -> None:
-        """Note an exchange with any node.
+        """Record an exchange with any node.
 
         Args:
           now: present time
-          gap_s: longest time without exchange in seconds
+          gap_s: seconds without an exchange after which contact begins anew
         """
-        if self._since is None or now - self._last > gap_s:
-            self._since = now
-            self._agreed = None
-        self._last = now
+        if (
+            self._connected_since is None
+            or now - self._last_exchange_at > gap_s
+        ):
+            self._connected_since = now
+            self._agreed_at = None
+        self._last_exchange_at = now
 
     def note_agreement(self, now: float) -> None:
-        """Note that a neighbour sees the same members as this node."""
-        self._agreed = now
+        """Record that a neighbour has the same members as this node."""
+        self._agreed_at = now
 
-    def is_settled(self, now: float, settle_s: float) -> bool:
-        """Say whether this node has been in touch for so long, or agrees.
+    def is_stable(self, now: float, stable_after_s: float) -> bool:
+        """Return whether contact is old enough or a neighbour agrees.
 
         Args:
           now: present time
-          settle_s: time in seconds after which nobody has to agree; also the
-            greatest age of an agreement
+          stable_after_s: seconds of contact after which no agreement is
+            needed; also the maximum age of an agreement
         """
-        if self._since is None or now - self._last > settle_s:
+        if (
+            self._connected_since is None
+            or now - self._last_exchange_at > stable_after_s
+        ):
             return False
-        if now - self._since >= settle_s:
+        if now - self._connected_since >= stable_after_s:
             return True
-        return self._agreed is not None and now - self._agreed <= settle_s
-
-    def is_in_touch(self, now: float, gap_s: float) -> bool:
-        """Say whether there was an exchange lately."""
-        return self._since is not None and now - self._last <= gap_s
+        return (
+            self._agreed_at is not None
+            and now - self._agreed_at <= stable_after_s
+        )
+
+    def has_recent_exchange(self, now: float, gap_s: float) -> bool:
+        """Return whether the last exchange was at most `gap_s` seconds ago."""
+        return (
+            self._connected_since is not None
+            and now - self._last_exchange_at <= gap_s
+        )
--- a/chervilrock/decisions/membership/digests.py
+++ b/chervilrock/decisions/membership/digests.py
@@ -1,4 +1,4 @@
-"""The digests that a node sends."""
+"""Creation of the digests that a node sends."""
 
 from collections.abc import Mapping
 
@@ -13,23 +13,23 @@
 )
 
 MAX_REPORTS = 16
-"""Reports of data centres in a digest."""
+"""Maximum number of reports of data centres in a digest."""
 
 MAX_ROSTERS = 4
 MAX_SHARES = 16
 MAX_SHARING_NODES = 64
-"""Nodes above which shares are not told.
+"""Number of nodes above which shares are not sent.
 
-Parts of a bound by demand need news of every node within seconds. More nodes
-than this take equal parts, which need none.
+Dividing a quota by demand needs an update of every node within seconds. More
+nodes than this get equal parts, which need no updates.
 """
 
 
 class DigestWriter:
-    """Writes what a node knows into digests."""
+    """Writes the state that a node knows into digests."""
 
     def __init__(self, *, table: MemberTable, shares: ShareBook) -> None:
-        """Take what digests tell of.
+        """Create a writer.
 
         Args:
           table: the known nodes
@@ -39,22 +39,22 @@
         self._shares = shares
 
     def write(
-        self, receiver: str, told: Mapping[str, int], now: float
+        self, receiver: str, known_clocks: Mapping[str, int], now: float
     ) -> PeerDigest:
-        """Return a digest with the news for a node of a data centre.
+        """Return a digest with the updates for a node of a data centre.
 
         Args:
-          receiver: data centre of the receiver, empty when not known
-          told: clocks that the receiver knows by data centre
+          receiver: data centre of the receiver, empty if unknown
+          known_clocks: clocks that the receiver knows by data centre
           now: present time
         """
         table = self._table
-        is_near = receiver == table.own.data_centre
-        reports = table.report_remotes(now, MAX_REPORTS, receiver, told)
-        if is_near or table.may_report(now):
+        is_local = receiver == table.own.data_centre
+        reports = table.report_remotes(now, MAX_REPORTS, receiver, known_clocks)
+        if is_local or table.may_report(now):
             reports = [table.report_own(now), *reports]
         digest = PeerDigest(sender=table.own)
-        if is_near:
+        if is_local:
             digest["heartbeats"] = table.report_heartbeats(now)
         if reports:
             digest["data_centres"] = tuple(reports)
@@ -66,12 +66,12 @@
     def add_rosters(
         self, digest: PeerDigest, wants: tuple[RosterWant, ...], now: float
     ) -> None:
-        """Add the members that the receiver asks for, and their reports."""
+        """Add the members that the receiver requests, and their reports."""
         rosters: list[Roster] = []
         reports: list[DataCentreReport] = []
         for want in wants[:MAX_ROSTERS]:
             roster = self._table.make_roster(want, now)
-            report = self._table.report_one(want.data_centre, now)
+            report = self._table.find_report(want.data_centre, now)
             if roster is not None and report is not None:
                 rosters.append(roster)
                 reports.append(report)
@@ -81,7 +81,7 @@
             digest["data_centres"] = (*others, *reports)
 
     def _choose_shares(self, now: float) -> tuple[NodeUse, ...]:
-        """Return the newest shares, if every node can have them in time."""
+        """Return the newest shares, if they can reach every node in time."""
         if self._table.size > MAX_SHARING_NODES:
             return ()
         used = [use for use in self._shares.shares(now) if use.uses]
@@ -90,6 +90,6 @@
 
 
 def add_wants(digest: PeerDigest, wants: list[RosterWant]) -> None:
-    """Add the members to ask the receiver for."""
+    """Add requests for members to a digest."""
     if wants:
         digest["wants"] = tuple(wants[:MAX_ROSTERS])
--- a/chervilrock/decisions/membership/exchange.py
+++ b/chervilrock/decisions/membership/exchange.py
@@ -1,23 +1,23 @@
 """The exchange of digests between two nodes, as a state machine.
 
-An exchange is a digest and the answer to it. Both carry the little that
-changes all the time: the newest heartbeats of a data centre and one line for
-each of some data centres. Members and configurations follow, in a second
-exchange with the same node, only when one of the two lacks them.
+An exchange is a digest and the answer to it. Both contain only the state that
+changes continuously: the newest heartbeats of a data centre and a short report
+for each of some data centres. Members and configurations follow in a second
+exchange with the same node, only if one of the two nodes lacks them.
 """
 
 from typing import NamedTuple, TYPE_CHECKING
 
 from chervilrock.decisions.membership.digests import add_wants, DigestWriter
 from chervilrock.decisions.membership.links import Peer, PeerLinks
-from chervilrock.decisions.membership.promptness import Promptness
+from chervilrock.decisions.membership.promptness import ImmediateExchanges
 from chervilrock.decisions.membership.shelf import (
     ConfigurationShelf,
     ShareBook,
 )
 from chervilrock.decisions.membership.table import MemberTable
 from chervilrock.decisions.membership.wanting import (
-    ConfigurationWant,
+    FetchPolicy,
     read_configuration,
 )
 from chervilrock.generated.interfaces import (
@@ -31,7 +31,7 @@
 
 MAX_FOLLOW_UPS = 6
 JITTER = (0.75, 1.25)
-"""Bounds of a pause, in intervals."""
+"""Range of the time between two exchanges, in intervals."""
 
 
 class Message(NamedTuple):
@@ -39,8 +39,8 @@
 
     Attributes:
       address: IP:port of the peer
-      digest: what to send
-      follow_ups: exchanges with the peer before this one, in a row
+      digest: the digest to send
+      follow_ups: number of directly preceding exchanges with the peer
     """
 
     address: str
@@ -49,7 +49,7 @@
 
 
 class PeerExchange:
-    """Makes and takes the digests of one node."""
+    """Creates and applies the digests of one node."""
 
     def __init__(
         self,
@@ -60,28 +60,28 @@
         shares: ShareBook,
         generator: "random.Random",
     ) -> None:
-        """Take the parts that digests tell of.
+        """Create the exchange of a node.
 
         Args:
-          table: the known nodes; this object alone changes it
+          table: the known nodes; only this object changes it
           links: chooses peers
-          shelf: holds the configuration in force
+          localconfiguration: the configuration in force
           shares: counts the requests of bounded workspaces
-          generator: varies the times between exchanges
+          generator: the source of jitter for the times between exchanges
         """
         self._table = table
         self._links = links
-        self._shelf = shelf
+        self._configuration = shelf
         self._shares = shares
         self._generator = generator
         self._writer = DigestWriter(table=table, shares=shares)
-        self._want = ConfigurationWant(shelf=shelf)
-        self._promptness = Promptness()
-        self._begun: float | None = None
+        self._fetch_policy = FetchPolicy(shelf=shelf)
+        self._immediate = ImmediateExchanges()
+        self._begun_at: float | None = None
 
     def begin(self, now: float) -> tuple[Message, ...]:
         """Return the digests to send at the end of an interval."""
-        self._begun = now
+        self._begun_at = now
         self._table.beat(now)
         self._shares.observe_members(self._table.list_names(now), now)
         chosen = (self._links.choose(now), self._links.choose_trial(now))
@@ -90,12 +90,12 @@
         )
 
     def begin_prompt(self, now: float) -> Message | None:
-        """Return a digest to send at once, when there is urgent news."""
+        """Return a digest to send immediately, None if no peer is known."""
         peer = self._links.choose(now)
         return None if peer is None else self._make_message(peer, now)
 
     def announce(self, now: float) -> tuple[Message, ...]:
-        """Return digests that tell all neighbours of this node's phase."""
+        """Return digests that report this node's phase to all neighbours."""
         self._table.beat(now)
         return tuple(
             self._make_message(peer, now)
@@ -108,25 +108,25 @@
         return self._table.timing.interval_s * jitter
 
     def wants_prompt(self) -> bool:
-        """Say whether there is urgent news to tell."""
-        return self._promptness.is_due(
-            revision=self._shelf.revision,
+        """Return whether an urgent update has to be sent immediately."""
+        return self._immediate.is_due(
+            revision=self._configuration.revision,
             departures=self._table.departures,
         )
 
     def answer(self, digest: PeerDigest, now: float) -> PeerDigest:
-        """Take the digest of a peer and return the answer to it."""
-        wants = self._take(digest, now)
+        """Apply the digest of a peer and return the answer to it."""
+        wants = self._apply(digest, now)
         sender = digest["sender"]
         if sender.data_centre != self._table.own.data_centre:
             self._table.note_reached()
         reply = PeerDigest(sender=self._table.own)
         if not _is_follow_up(digest):
-            told = {
+            known_clocks = {
                 report.data_centre: report.clock
                 for report in digest.get("data_centres", ())
             }
-            reply = self._writer.write(sender.data_centre, told, now)
+            reply = self._writer.write(sender.data_centre, known_clocks, now)
         expected = self._table.expect_heartbeat(sender, now)
         if expected:
             reply["expected_heartbeat"] = expected
@@ -138,37 +138,39 @@
     def finish(
         self, sent: Message, answer: PeerDigest, now: float
     ) -> Message | None:
-        """Take an answer; return what the peer lacks and this node wants.
+        """Apply an answer and return the follow-up exchange, if one is needed.
+
+        It sends what the peer lacks and requests what this node lacks.
 
         Args:
-          sent: what was sent
+          sent: the message that was sent
           answer: the answer to it
           now: present time
         """
-        wants = self._take(answer, now)
+        wants = self._apply(answer, now)
         sender = answer["sender"]
         if sender.incarnation == self._table.own.incarnation:
-            self._links.note_self(sent.address)
+            self._links.record_own_address(sent.address)
             return None
         self._links.note_success(sent.address, sender.data_centre)
         reply = PeerDigest(sender=self._table.own)
         self._writer.add_rosters(reply, answer.get("wants", ()), now)
         add_wants(reply, wants)
         self._add_configuration(reply, answer, now)
-        self._promptness.note_exchange(
+        self._immediate.note_exchange(
             was_useful=bool(answer.get("wants"))
-            or sender.revision < self._shelf.revision
+            or sender.revision < self._configuration.revision
         )
         if len(reply) == 1 or sent.follow_ups >= MAX_FOLLOW_UPS:
             return None
         return Message(sent.address, reply, sent.follow_ups + 1)
 
     def fail(self, sent: Message, now: float) -> None:
-        """Note that a peer did not answer."""
+        """Record that a peer did not answer."""
         self._links.note_failure(sent.address, now)
 
-    def _take(self, digest: PeerDigest, now: float) -> list[RosterWant]:
-        """Take a digest; return the members to ask its sender for."""
+    def _apply(self, digest: PeerDigest, now: float) -> list[RosterWant]:
+        """Apply a digest and return the members to request from its sender."""
         sender = digest["sender"]
         if sender.incarnation == self._table.own.incarnation:
             return []
@@ -176,39 +178,39 @@
             return []
         self._table.note_exchange(sender, now)
         self._table.advance_heartbeat(digest.get("expected_heartbeat", 0), now)
-        self._want.note_revision(sender.revision, now)
+        self._fetch_policy.note_revision(sender.revision, now)
         for roster in digest.get("rosters", ()):
             self._table.merge_roster(roster, now)
-        is_near = sender.data_centre == self._table.own.data_centre
-        if is_near:
+        is_local = sender.data_centre == self._table.own.data_centre
+        if is_local:
             heartbeats = digest.get("heartbeats")
             if heartbeats is not None:
                 self._table.merge_heartbeats(heartbeats, now)
         self._shares.observe_peer_shares(digest.get("shares", ()), now)
         stored = read_configuration(digest.get("configuration"))
         if stored is not None:
-            self._shelf.adopt(stored, now)
+            self._configuration.adopt(stored, now)
         reports = digest.get("data_centres", ())
-        return self._take_reports(reports, now, is_near)
+        return self._merge_reports(reports, now, is_local)
 
     def _was_paused(self, now: float) -> bool:
-        """Say whether this node did nothing lately.
+        """Return whether this node was paused recently.
 
-        Then the digests that it reads now may have waited for it all the
-        time, and what was news is none any more.
+        The digests that it reads then may have been queued during the pause,
+        so that their updates are outdated.
         """
-        if self._begun is None:
+        if self._begun_at is None:
             return False
-        return now - self._begun > self._table.timing.overdue_s
+        return now - self._begun_at > self._table.timing.overdue_s
 
-    def _take_reports(
+    def _merge_reports(
         self,
         reports: tuple[DataCentreReport, ...],
         now: float,
-        is_near: bool,
+        is_local: bool,
     ) -> list[RosterWant]:
         wants = [
-            self._table.merge_report(report, now, from_near=is_near)
+            self._table.merge_report(report, now, from_local=is_local)
             for report in reports
         ]
         return [want for want in wants if want is not None]
@@ -220,18 +222,25 @@
     def _add_configuration(
         self, reply: PeerDigest, digest: PeerDigest, now: float
     ) -> None:
-        """Add the configuration when asked for it, or ask for one."""
-        theirs = digest["sender"].revision
-        if self._want.is_due(theirs, now) and "configuration" not in digest:
+        """Add the configuration if it was requested, or request one."""
+        peer_revision = digest["sender"].revision
+        if (
+            self._fetch_policy.is_due(peer_revision, now)
+            and "configuration" not in digest
+        ):
             reply["wants_configuration"] = True
-        asked = digest.get("wants_configuration", False)
-        current = self._shelf.current()
-        if asked and current is not None and theirs < self._shelf.revision:
+        is_requested = digest.get("wants_configuration", False)
+        current = self._configuration.current()
+        if (
+            is_requested
+            and current is not None
+            and peer_revision < self._configuration.revision
+        ):
             reply["configuration"] = current
 
 
 def _is_follow_up(digest: PeerDigest) -> bool:
-    """Say whether a digest goes on with an exchange."""
+    """Return whether a digest continues an exchange."""
     return bool(
         digest.get("rosters")
         or digest.get("wants")
--- a/chervilrock/decisions/membership/former.py
+++ b/chervilrock/decisions/membership/former.py
@@ -1,4 +1,4 @@
-"""Nodes of other data centres that were dropped, to be tried again."""
+"""Dropped nodes of other data centres, which are tried again later."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -6,34 +6,34 @@
 
 from chervilrock.generated.interfaces import PeerNode
 
-KEEP_S = 7200.0
-MAX_FORMER = 1024
+RETENTION_S = 7200.0
+MAX_DROPPED = 1024
 
 
 class _Dropped(NamedTuple):
     peer: PeerNode
-    dropped: float
+    dropped_at: float
 
 
-class FormerMembers:
-    """The nodes that were dropped last, by address."""
+class DroppedMembers:
+    """The most recently dropped nodes by address."""
 
     def __init__(self) -> None:
-        """Remember no node."""
+        """Create an empty collection."""
         self._dropped: OrderedDict[str, _Dropped] = OrderedDict()
 
     def add(self, peers: Iterable[PeerNode], now: float) -> None:
-        """Remember nodes that are dropped now, and forget the oldest."""
+        """Add nodes that are dropped now, and remove the oldest ones."""
         for peer in peers:
             self._dropped[peer.address] = _Dropped(peer, now)
             self._dropped.move_to_end(peer.address)
         while self._dropped:
             oldest = next(iter(self._dropped.values()))
-            expired = now - oldest.dropped > KEEP_S
-            if not expired and len(self._dropped) <= MAX_FORMER:
+            expired = now - oldest.dropped_at > RETENTION_S
+            if not expired and len(self._dropped) <= MAX_DROPPED:
                 return
             self._dropped.popitem(last=False)
 
     def peers(self) -> list[PeerNode]:
-        """Return the nodes."""
+        """Return the dropped nodes."""
         return [dropped.peer for dropped in self._dropped.values()]
--- a/chervilrock/decisions/membership/links.py
+++ b/chervilrock/decisions/membership/links.py
@@ -1,51 +1,51 @@
-"""With whom a node begins exchanges.
+"""Choice of the peers with which a node begins exchanges.
 
-Within a data centre each node may choose any other. To other data centres a
-node keeps a few links: nodes that it has reached. New links are found by
-trying a node now and then, and a link that fails is dropped. So no setting
-has to say who can be reached from where, a failed part of the system costs
-little, and the parts of a partition find each other again.
+Within a data centre each node may choose any other. For other data centres a
+node keeps a few links: nodes that it has reached. It finds new links by
+occasional trials, and drops a link that fails. This needs no setting for which
+nodes are reachable from where, limits the cost of failed nodes, and lets the
+sides of a partition find each other again.
 
-Where few nodes can be reached from other data centres, these would take part
-in the exchanges of all others. There a node keeps fewer links, so that it
-exchanges less with them. A node that was reached says so in its entry.
+Where only few nodes are reachable from other data centres, these would take
+part in the exchanges of all others. A node then keeps fewer links, so that it
+exchanges less with them. A node that was reached reports this in its entry.
 """
 
 from typing import NamedTuple, TYPE_CHECKING
 
-from chervilrock.decisions.membership.near import NearMember
+from chervilrock.decisions.membership.near import LocalMember
 from chervilrock.decisions.membership.table import MemberTable
 
 if TYPE_CHECKING:
     import random
 
 MAX_LINKS = 6
-"""Nodes of other data centres that a node keeps exchanging with."""
+"""Maximum number of links to nodes of other data centres."""
 
 MIN_LINKS = 2
-"""Links that a node keeps where hardly any node can be reached."""
+"""Number of links that a node keeps when hardly any node is reachable."""
 
-TRIAL_MEMORY = 1.0 / 8.0
-"""Weight of the last trial of an unknown node in the mean of all."""
+TRIAL_WEIGHT = 1.0 / 8.0
+"""Weight of the last trial in the moving average of reachable nodes."""
 
-TRY_REACHABLE = 0.5
-"""Probability that a trial goes to a node that others have reached."""
+REACHABLE_TRIAL_PROBABILITY = 0.5
+"""Probability that a trial uses a node known to be reachable."""
 
-TRY_WITHOUT_LINKS = 1.0
-TRY_WITH_FEW_LINKS = 0.25
-TRY_WITH_LOSS = 1.0 / 16.0
-TRY_WITH_ALL_LINKS = 1.0 / 64.0
-"""Probabilities that a node tries another node at an interval."""
+TRIAL_PROBABILITY_NO_LINKS = 1.0
+TRIAL_PROBABILITY_FEW_LINKS = 0.25
+TRIAL_PROBABILITY_LOST = 1.0 / 16.0
+TRIAL_PROBABILITY_ALL_LINKS = 1.0 / 64.0
+"""Probabilities of a trial per interval, by the state of the links."""
 
-LEAST_NEAR = 0.5
-"""Least share of the exchanges within the own data centre."""
+MIN_LOCAL_SHARE = 0.5
+"""Minimum share of exchanges within the own data centre."""
 
-DRAWN = 3
-"""Nodes of the own data centre of which the one silent longest is asked."""
+LOCAL_SAMPLE_SIZE = 3
+"""Sample of nodes of the own data centre; the least recently seen is used."""
 
 FIRST_PAUSE_S = 2.0
-LONGEST_PAUSE_S = 15.0
-"""Time for which an address that failed is not tried again."""
+MAX_PAUSE_S = 15.0
+"""Range of the time for which an address that failed is not tried again."""
 
 MAX_FAILURES = 2048
 
@@ -55,7 +55,7 @@
 
     Attributes:
       address: IP:port
-      data_centre: where it stands, empty when that is not known
+      data_centre: its data centre, empty if unknown
     """
 
     address: str
@@ -73,7 +73,7 @@
 
 
 class PeerLinks:
-    """Chooses the nodes to exchange with."""
+    """Chooses the nodes to exchange with and keeps the links."""
 
     def __init__(
         self,
@@ -83,13 +83,13 @@
         generator: "random.Random",
         max_links: int = MAX_LINKS,
     ) -> None:
-        """Start without links.
+        """Create an empty set of links.
 
         Args:
           table: the known nodes
           seeds: addresses of nodes from the settings
-          generator: chooses
-          max_links: nodes of other data centres to keep exchanging with
+          generator: the source of randomness
+          max_links: maximum number of links to other data centres
         """
         self._table = table
         self._seeds = seeds
@@ -98,9 +98,9 @@
         self._max_links = max_links
         self._links: dict[str, str] = {}
         self._failures: dict[str, _Failure] = {}
-        self._selves: set[str] = set()
+        self._own_addresses: set[str] = set()
         self._trials: set[str] = set()
-        self._openness = 1.0
+        self._reachable_share = 1.0
 
     @property
     def links(self) -> tuple[str, ...]:
@@ -108,63 +108,70 @@
         return tuple(self._links)
 
     def note_controller(self, address: str) -> None:
-        """Take the address of the controller of the region as a seed.
+        """Use the address of the controller of the region as a seed.
 
-        The log tells it, so that nodes whose seeds are all gone find each
-        other.
+        It comes from the log, so that nodes whose seeds no longer exist
+        still find each other.
 
         Args:
-          address: IP:port, empty when the log names no controller
+          address: IP:port, empty if the log names no controller
         """
         self._controller = address
 
     def choose(self, now: float) -> Peer | None:
-        """Return the node to exchange with, None when none is known."""
-        near = [
+        """Return the node to exchange with, None if none is known."""
+        local_members = [
             member
-            for member in self._table.near_live(now)
+            for member in self._table.list_local_live(now)
             if not self._is_paused(member.entry.address, now)
         ]
-        if not near and not self._links:
+        if not local_members and not self._links:
             return None
-        overdue = self._list_overdue(near, now)
+        overdue = self._list_overdue(local_members, now)
         if overdue:
-            return _to_peer(min(overdue, key=lambda member: member.heard))
-        share = max(LEAST_NEAR, len(near) / (len(near) + len(self._links)))
-        if near and (not self._links or self._generator.random() < share):
-            return self._choose_near(near)
+            return _to_peer(min(overdue, key=lambda member: member.last_seen))
+        share = max(
+            MIN_LOCAL_SHARE,
+            len(local_members) / (len(local_members) + len(self._links)),
+        )
+        if local_members and (
+            not self._links or self._generator.random() < share
+        ):
+            return self._choose_local(local_members)
         return Peer(*self._generator.choice(list(self._links.items())))
 
     def choose_trial(self, now: float) -> Peer | None:
-        """Return a node to try besides, None at most intervals."""
-        disputed = self._table.take_disputed()
+        """Return an additional node to try, None at most intervals."""
+        disputed = self._table.pop_disputed()
         if disputed is not None and not self._is_paused(disputed.address, now):
             return Peer(disputed.address, disputed.data_centre)
         late = self._table.find_late(now)
         if late is not None:
             return self._choose_late(late, now)
-        silent = self._choose_silent(now)
-        if silent is not None:
-            return silent
+        dead = self._choose_dead(now)
+        if dead is not None:
+            return dead
         if self._generator.random() >= self._trial_probability(now):
             return None
-        places = []
-        for name, candidates in self._list_distant(now).items():
+        data_centres = []
+        for name, candidates in self._list_candidates(now).items():
             untried = self._keep_untried(candidates, now)
             if untried:
-                places.append((name, untried))
-        if not places:
+                data_centres.append((name, untried))
+        if not data_centres:
             return None
-        name, untried = self._generator.choice(places)
+        name, untried = self._generator.choice(data_centres)
         return self._note_choice(self._choose_untried(untried), name)
 
     def list_neighbours(self, now: float) -> list[Peer]:
         """Return all nodes that this node exchanges with."""
-        near = [_to_peer(member) for member in self._table.near_live(now)]
-        return [*near, *(Peer(*link) for link in self._links.items())]
+        local_members = [
+            _to_peer(member) for member in self._table.list_local_live(now)
+        ]
+        return [*local_members, *(Peer(*link) for link in self._links.items())]
 
     def note_success(self, address: str, data_centre: str) -> None:
-        """Note that the node at an address answered."""
+        """Record that the node at an address answered."""
         self._failures.pop(address, None)
         self._note_trial(address, 1.0)
         if data_centre == self._table.own.data_centre:
@@ -174,62 +181,70 @@
             del self._links[next(iter(self._links))]
 
     def note_failure(self, address: str, now: float) -> None:
-        """Note that no node answered at an address."""
+        """Record that no node answered at an address."""
         self._links.pop(address, None)
         self._note_trial(address, 0.0)
         known = self._failures.pop(address, None)
         pause = FIRST_PAUSE_S if known is None else known.pause_s * 2.0
-        pause = min(pause, LONGEST_PAUSE_S)
+        pause = min(pause, MAX_PAUSE_S)
         self._failures[address] = _Failure(now + pause, pause)
         if len(self._failures) > MAX_FAILURES:
             del self._failures[next(iter(self._failures))]
 
-    def note_self(self, address: str) -> None:
-        """Note that this node itself answers at an address."""
-        self._selves.add(address)
+    def record_own_address(self, address: str) -> None:
+        """Record an address at which this node itself answers."""
+        self._own_addresses.add(address)
 
     def _list_overdue(
-        self, near: list[NearMember], now: float
-    ) -> list[NearMember]:
-        """Return nodes that soon count as dead, to be asked themselves."""
+        self, local_members: list[LocalMember], now: float
+    ) -> list[LocalMember]:
+        """Return nodes that would soon count as dead, to contact directly."""
         limit = self._table.timing.overdue_s
-        return [member for member in near if now - member.heard > limit]
+        return [
+            member for member in local_members if now - member.last_seen > limit
+        ]
 
-    def _choose_near(self, near: list[NearMember]) -> Peer:
-        """Return the one heard of longest ago, of some drawn at random."""
-        drawn = self._generator.sample(near, min(DRAWN, len(near)))
-        return _to_peer(min(drawn, key=lambda member: member.heard))
+    def _choose_local(self, local_members: list[LocalMember]) -> Peer:
+        """Return the least recently seen node of a random sample."""
+        drawn = self._generator.sample(
+            local_members, min(LOCAL_SAMPLE_SIZE, len(local_members))
+        )
+        return _to_peer(min(drawn, key=lambda member: member.last_seen))
 
     def _note_trial(self, address: str, outcome: float) -> None:
-        """Learn how many nodes of other data centres can be reached."""
+        """Update the estimated share of reachable nodes elsewhere."""
         if address in self._trials:
             self._trials.discard(address)
-            self._openness += TRIAL_MEMORY * (outcome - self._openness)
+            self._reachable_share += TRIAL_WEIGHT * (
+                outcome - self._reachable_share
+            )
 
     def _wanted_links(self) -> int:
         least = min(MIN_LINKS, self._max_links)
-        share = max(self._openness, self._table.share_reachable)
+        share = max(self._reachable_share, self._table.share_reachable)
         wanted = round(self._max_links * share)
         return max(least, wanted)
 
     def _trial_probability(self, now: float) -> float:
         if not self._links:
-            return TRY_WITHOUT_LINKS
+            return TRIAL_PROBABILITY_NO_LINKS
         if len(self._links) < self._wanted_links():
-            return TRY_WITH_FEW_LINKS
+            return TRIAL_PROBABILITY_FEW_LINKS
         if self._table.has_lost(now):
-            return TRY_WITH_LOSS
-        return TRY_WITH_ALL_LINKS
+            return TRIAL_PROBABILITY_LOST
+        return TRIAL_PROBABILITY_ALL_LINKS
 
-    def _list_distant(self, now: float) -> dict[str, list[_Candidate]]:
-        """Return addresses to try by place; unknown seeds have none."""
+    def _list_candidates(self, now: float) -> dict[str, list[_Candidate]]:
+        """Return addresses to try by data centre, empty for unknown seeds."""
         found = {
             name: [_Candidate(peer.address, peer.reachable) for peer in peers]
-            for name, peers in self._table.list_distant(now).items()
+            for name, peers in self._table.list_trial_candidates(now).items()
         }
-        known = {one.address for place in found.values() for one in place}
-        near = self._table.near_live(now)
-        known.update(member.entry.address for member in near)
+        known = {
+            candidate.address for group in found.values() for candidate in group
+        }
+        local_members = self._table.list_local_live(now)
+        known.update(member.entry.address for member in local_members)
         found[""] = [
             _Candidate(seed, True)
             for seed in dict.fromkeys((*self._seeds, self._controller))
@@ -242,34 +257,39 @@
     ) -> list[_Candidate]:
         own = self._table.own.address
         return [
-            one
-            for one in candidates
-            if one.address != own
-            and one.address not in self._links
-            and one.address not in self._selves
-            and not self._is_paused(one.address, now)
+            candidate
+            for candidate in candidates
+            if candidate.address != own
+            and candidate.address not in self._links
+            and candidate.address not in self._own_addresses
+            and not self._is_paused(candidate.address, now)
         ]
 
-    def _choose_silent(self, now: float) -> Peer | None:
-        """Return a silent node of the own data centre when none lives.
+    def _choose_dead(self, now: float) -> Peer | None:
+        """Return a dead node of the own data centre if no node there is live.
 
-        More likely than all others it is this node that was silent.
+        It is more likely that this node was isolated than that all others
+        died.
         """
-        if self._table.near_live(now):
+        if self._table.list_local_live(now):
             return None
-        silent = [
+        dead = [
             member
-            for member in self._table.list_silent(now)
+            for member in self._table.list_dead(now)
             if not self._is_paused(member.entry.address, now)
         ]
-        return _to_peer(self._generator.choice(silent)) if silent else None
+        return _to_peer(self._generator.choice(dead)) if dead else None
 
     def _choose_late(self, name: str, now: float) -> Peer | None:
-        """Return a node of a data centre of which no news comes."""
-        linked = [one for one, place in self._links.items() if place == name]
+        """Return a node of a data centre whose reports are late."""
+        linked = [
+            address
+            for address, data_centre in self._links.items()
+            if data_centre == name
+        ]
         if linked:
             return Peer(self._generator.choice(linked), name)
-        candidates = self._list_distant(now).get(name, [])
+        candidates = self._list_candidates(now).get(name, [])
         untried = self._keep_untried(candidates, now)
         if not untried:
             return None
@@ -281,8 +301,10 @@
         return Peer(chosen.address, name)
 
     def _choose_untried(self, candidates: list[_Candidate]) -> _Candidate:
-        reachable = [one for one in candidates if one.reachable]
-        if reachable and self._generator.random() < TRY_REACHABLE:
+        reachable = [
+            candidate for candidate in candidates if candidate.reachable
+        ]
+        if reachable and self._generator.random() < REACHABLE_TRIAL_PROBABILITY:
             return self._generator.choice(reachable)
         return self._generator.choice(candidates)
 
@@ -291,5 +313,5 @@
         return failure is not None and now < failure.until
 
 
-def _to_peer(member: NearMember) -> Peer:
+def _to_peer(member: LocalMember) -> Peer:
     return Peer(member.entry.address, member.entry.data_centre)
--- a/chervilrock/decisions/membership/local.py
+++ b/chervilrock/decisions/membership/local.py
@@ -1,11 +1,11 @@
-"""The own data centre: its nodes, its clock, and who may speak for it."""
+"""The own data centre: its nodes, its clock and its reports."""
 
 from collections.abc import Iterable
 
 from chervilrock.decisions.membership.clocks import Counter
 from chervilrock.decisions.membership.contact import Contact
 from chervilrock.decisions.membership.near import (
-    NearMembers,
+    LocalMembers,
     report_data_centre,
     report_heartbeats,
     to_members,
@@ -24,46 +24,48 @@
 
 
 class LocalDataCentre:
-    """What a node knows and says of its own data centre.
+    """The state of the own data centre, and its reports to other nodes.
 
     Attributes:
       name: name of the data centre
-      near: its nodes
-      contact: when this node was in touch with others
+      local_members: its nodes
+      contact: tracks when this node exchanged with others
     """
 
     def __init__(self, *, own: PeerNode) -> None:
-        """Know only this node."""
+        """Create a data centre that contains only this node."""
         self.name = own.data_centre
-        self.near = NearMembers(own=own)
+        self.local_members = LocalMembers(own=own)
         self.contact = Contact()
         self._clock = Counter()
-        self._seeks_members = False
+        self._lacks_members = False
 
     def beat(self, now: float) -> None:
-        """Bring the heartbeat up to date and drop nodes silent for long."""
-        self.near.beat(now)
-        self.near.forget(now, DROP_AFTER_S)
+        """Update the heartbeat and drop nodes without contact for too long."""
+        self.local_members.beat(now)
+        self.local_members.forget(now, DROP_AFTER_S)
 
     def report(self, now: float, timing: PeerTiming) -> DataCentreReport:
         """Return the report of the data centre."""
-        view = self.near.view(now, timing.dead_after_s)
+        view = self.local_members.view(now, timing.dead_after_s)
         return report_data_centre(view, self.name, self._clock.read(now))
 
     def report_heartbeats(
         self, now: float, timing: PeerTiming
     ) -> HeartbeatReport:
-        """Return the news of the nodes, for other nodes here."""
-        self.near.beat(now)
-        return report_heartbeats(self.near.view(now, timing.dead_after_s))
+        """Return the heartbeats, for other nodes of the data centre."""
+        self.local_members.beat(now)
+        return report_heartbeats(
+            self.local_members.view(now, timing.dead_after_s)
+        )
 
     def may_report(self, now: float, timing: PeerTiming) -> bool:
-        """Say whether this node may speak for the data centre elsewhere."""
-        settle_s = timing.dead_after_s
-        if self.contact.is_settled(now, settle_s):
+        """Return whether this node may report for the data centre."""
+        stable_after_s = timing.dead_after_s
+        if self.contact.is_stable(now, stable_after_s):
             return True
-        alone = not any(self.near.others) and not self._seeks_members
-        return alone and self.contact.is_in_touch(now, settle_s)
+        alone = not any(self.local_members.others) and not self._lacks_members
+        return alone and self.contact.has_recent_exchange(now, stable_after_s)
 
     def compare(
         self,
@@ -71,27 +73,27 @@
         now: float,
         timing: PeerTiming,
         *,
-        from_near: bool,
+        from_local: bool,
     ) -> RosterWant | None:
-        """Compare what another node says of the data centre.
+        """Compare a report of another node on the data centre.
 
         Args:
-          report: what it says
+          report: the report
           now: present time
           timing: times of the exchange
-          from_near: whether the other node stands here too
+          from_local: whether the other node is in this data centre too
 
         Returns:
-          What to ask it for, when it knows other members.
+          What to request from it, if it knows other members.
         """
         self._clock.advance(report.clock, now)
-        if from_near:
-            self.near.merge_holders(report)
-        own = self.near.view(now, timing.dead_after_s).key
-        if report.members == own and from_near:
+        if from_local:
+            self.local_members.merge_holders(report)
+        own = self.local_members.view(now, timing.dead_after_s).key
+        if report.members == own and from_local:
             self.contact.note_agreement(now)
-        named = self.near.book.find(report.members)
-        self._seeks_members = named is None
+        named = self.local_members.roster_cache.find(report.members)
+        self._lacks_members = named is None
         if named is not None:
             self._dispute(named, now, timing)
             return None
@@ -100,35 +102,37 @@
     def merge_roster(
         self, roster: Roster, now: float, timing: PeerTiming
     ) -> None:
-        """Take members that another node knows, and note disputed ones."""
+        """Merge members that another node knows, and record disputed ones."""
         for peer in roster.added:
             if peer.data_centre == self.name:
-                self.near.merge_entry(peer, now)
-        self.near.book.read(roster)
+                self.local_members.merge_entry(peer, now)
+        self.local_members.roster_cache.read(roster)
         named = [peer.incarnation for peer in roster.added]
         self._dispute(named, now, timing)
 
-    def take_disputed(self) -> PeerNode | None:
-        """Return a node to ask whether it lives, each one once."""
-        disputed = self.near.disputed
-        for member in self.near.others:
+    def pop_disputed(self) -> PeerNode | None:
+        """Remove and return a disputed node, to check whether it is live."""
+        disputed = self.local_members.disputed
+        for member in self.local_members.others:
             if member.entry.incarnation in disputed:
                 disputed.remove(member.entry.incarnation)
                 return member.entry
         return None
 
     def make_roster(self, base: str, now: float, timing: PeerTiming) -> Roster:
-        """Return the members, as a difference to a set of members."""
-        view = self.near.view(now, timing.dead_after_s)
-        return self.near.book.make(to_members(view.members), base)
+        """Return the members as a difference from a set of members."""
+        view = self.local_members.view(now, timing.dead_after_s)
+        return self.local_members.roster_cache.make(
+            to_members(view.members), base
+        )
 
     def _dispute(
         self, named: Iterable[str], now: float, timing: PeerTiming
     ) -> None:
-        """Note the silent ones of nodes that another node named as live."""
-        silent = {
+        """Record dead nodes that another node reported as live."""
+        dead = {
             member.entry.incarnation
-            for member in self.near.others
-            if now - member.heard > timing.dead_after_s
+            for member in self.local_members.others
+            if now - member.last_seen > timing.dead_after_s
         }
-        self.near.disputed = silent.intersection(named)
+        self.local_members.disputed = dead.intersection(named)
--- a/chervilrock/decisions/membership/losses.py
+++ b/chervilrock/decisions/membership/losses.py
@@ -1,4 +1,4 @@
-"""Which peers were lost, and which are back, since the last look."""
+"""Detection of peers that were lost or recovered since the last check."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,11 +10,11 @@
 
 
 class PeerChanges(NamedTuple):
-    """Peers that changed since the last look.
+    """Peers that changed since the last check.
 
     Attributes:
-      lost: lived, did not leave, and are no longer heard of
-      back: were lost and are heard of again, restarted or not
+      lost: were live, did not leave, and are no longer live
+      recovered: were lost and are live again, restarted or not
     """
 
     lost: tuple[PeerNode, ...]
@@ -22,15 +22,15 @@
 
 
 class LossWatch:
-    """Compares the live peers with those of the last look, by name."""
+    """Compares the live peers with those of the last check, by name."""
 
     def __init__(self) -> None:
-        """Know no peer."""
+        """Create a detector that knows no peer."""
         self._live: dict[str, PeerNode] = {}
         self._lost: dict[str, PeerNode] = {}
 
     def observe(self, live: Iterable[PeerNode]) -> PeerChanges:
-        """Take the peers that live now, and return what changed."""
+        """Set the peers that are live now, and return the changes."""
         now_live = {peer.node: peer for peer in live}
         lost = tuple(
             peer
--- a/chervilrock/decisions/membership/near.py
+++ b/chervilrock/decisions/membership/near.py
@@ -1,9 +1,9 @@
 """The nodes of the own data centre.
 
-The heartbeat of a node is its own clock, which its neighbours hand on. So they
-know how old news of it is, however it came, and neither a delayed message nor
-a node that was paused can make a dead node look alive. Phase and revision
-only ever go up, so the order in which news arrives does not matter.
+The heartbeat of a node is its own clock, which its neighbours forward. They
+therefore know the age of an update on any path, and neither a delayed message
+nor a node that was paused can make a dead node look live. Phase and revision
+only increase, so updates may arrive in any order.
 """
 
 from collections.abc import Iterable
@@ -18,13 +18,13 @@
 from chervilrock.decisions.membership.rosters import (
     decode_holders,
     encode_holders,
-    hash_traits,
+    hash_states,
+    HashedState,
     is_departing,
     mean_load,
     Members,
     rank_phase,
-    RosterBook,
-    Trait,
+    RosterCache,
 )
 from chervilrock.generated.interfaces import (
     DataCentreReport,
@@ -37,17 +37,17 @@
 PERCENT = 100
 
 
-class NearMember:
-    """What is known of a node of the own data centre.
+class LocalMember:
+    """The known state of a node of the own data centre.
 
     Attributes:
-      entry: the node as it was first heard of
+      entry: the first entry received of the node
       heartbeat: its greatest heartbeat
       phase: its latest phase
       load: its load
       revision: its greatest configuration revision
       reachable: whether a node of another data centre has reached it
-      heard: when it sent its greatest heartbeat, as far as is known, in
+      last_seen: estimated time at which it sent its greatest heartbeat, in
         seconds of the local clock
     """
 
@@ -58,20 +58,20 @@
         "load",
         "revision",
         "reachable",
-        "heard",
+        "last_seen",
         "_clock",
     )
 
-    def __init__(self, *, entry: PeerNode, heard: float) -> None:
-        """Take an entry that is heard of for the first time."""
+    def __init__(self, *, entry: PeerNode, last_seen: float) -> None:
+        """Create a member from the first entry received."""
         self.entry = entry
         self.heartbeat = entry.heartbeat
         self.phase = entry.phase
         self.load = entry.load
         self.revision = entry.revision
         self.reachable = entry.reachable
-        self.heard = heard
-        self._clock = ClockEstimate(counter=entry.heartbeat, now=heard)
+        self.last_seen = last_seen
+        self._clock = ClockEstimate(counter=entry.heartbeat, now=last_seen)
 
     @property
     def peer(self) -> PeerNode:
@@ -85,26 +85,26 @@
         )
 
     @property
-    def trait(self) -> Trait:
-        """What makes a set of members another one."""
+    def hashed_state(self) -> HashedState:
+        """The fields that are part of the hash of a set of members."""
         return self.entry.incarnation, self.phase, self.reachable
 
-    def take_heartbeat(self, heartbeat: int, load: float, now: float) -> None:
-        """Take a heartbeat and the load told with it, if it is news."""
+    def update_heartbeat(self, heartbeat: int, load: float, now: float) -> None:
+        """Apply a heartbeat and the load sent with it, if it is newer."""
         if self.heartbeat < heartbeat < MAX_COUNTER:
             self.heartbeat = heartbeat
             self.load = load
-            self.heard = self._clock.take(heartbeat, now)
+            self.last_seen = self._clock.update(heartbeat, now)
 
     def expect_heartbeat(self, now: float) -> int:
         """Return the heartbeat that the node should have reached."""
         return self._clock.expect(now)
 
-    def take_phase(self, phase: NodePhase) -> bool:
-        """Take a phase, unless it is an earlier one.
+    def update_phase(self, phase: NodePhase) -> bool:
+        """Apply a phase, unless it is an earlier one.
 
         Returns:
-          Whether the node has thereby begun to leave, or stopped.
+          Whether the node has begun to leave or stopped with this phase.
         """
         if rank_phase(phase) <= rank_phase(self.phase):
             return False
@@ -112,7 +112,7 @@
         return is_departing(phase)
 
 
-class NearView(NamedTuple):
+class LocalView(NamedTuple):
     """The live nodes of the own data centre, this one included.
 
     Attributes:
@@ -121,64 +121,64 @@
     """
 
     key: str
-    members: tuple[NearMember, ...]
+    members: tuple[LocalMember, ...]
 
 
-class NearMembers:
-    """The nodes of the own data centre, dead ones for a while.
+class LocalMembers:
+    """The nodes of the own data centre, including recently dead ones.
 
     Attributes:
       own: this node
-      departures: counts the nodes that were seen to leave or stop
-      disputed: incarnations of nodes that are dead for this node and that
-        another one named as live
+      departures: number of nodes that were observed to leave or stop
+      disputed: incarnations of nodes that this node considers dead and
+        another node reported as live
     """
 
     def __init__(self, *, own: PeerNode) -> None:
-        """Know only this node."""
-        self.own = NearMember(entry=own, heard=math.inf)
+        """Create a set that contains only this node."""
+        self.own = LocalMember(entry=own, last_seen=math.inf)
         self.departures = 0
         self.disputed: set[str] = set()
-        self._others: dict[str, NearMember] = {}
+        self._others: dict[str, LocalMember] = {}
         self._counter = Counter()
-        self._book = RosterBook(data_centre=own.data_centre)
-        self._live: list[NearMember] = []
-        self._traits: list[Trait] = []
-        self._view = NearView("", ())
+        self._roster_cache = RosterCache(data_centre=own.data_centre)
+        self._live: list[LocalMember] = []
+        self._states: list[HashedState] = []
+        self._view = LocalView("", ())
 
     @property
-    def book(self) -> RosterBook:
-        """The last sets of live members."""
-        return self._book
+    def roster_cache(self) -> RosterCache:
+        """The most recent sets of live members."""
+        return self._roster_cache
 
     @property
-    def others(self) -> Iterable[NearMember]:
-        """All other nodes, dead ones too."""
+    def others(self) -> Iterable[LocalMember]:
+        """All other nodes, including dead ones."""
         return self._others.values()
 
-    def view(self, now: float, dead_after_s: float) -> NearView:
-        """Return the live members, and remember them when they changed."""
+    def view(self, now: float, dead_after_s: float) -> LocalView:
+        """Return the live members, and cache them if they changed."""
         live = [*self.live(now, dead_after_s)]
         if self.own.phase != NodePhase.STOPPED or not live:
             live.append(self.own)
-        traits = [member.trait for member in live]
-        if live != self._live or traits != self._traits:
-            self._live, self._traits = live, traits
+        states = [member.hashed_state for member in live]
+        if live != self._live or states != self._states:
+            self._live, self._states = live, states
             self._view = _make_view(live)
-            self._book.keep(to_members(self._view.members))
+            self._roster_cache.keep(to_members(self._view.members))
         return self._view
 
-    def live(self, now: float, dead_after_s: float) -> list[NearMember]:
-        """Return the other nodes that live and have not stopped."""
+    def live(self, now: float, dead_after_s: float) -> list[LocalMember]:
+        """Return the other nodes that are live and have not stopped."""
         return [
             member
             for member in self._others.values()
-            if now - member.heard <= dead_after_s
+            if now - member.last_seen <= dead_after_s
             and member.phase != NodePhase.STOPPED
         ]
 
     def merge_entry(self, peer: PeerNode, now: float) -> None:
-        """Take what a node says of itself or another node knows of it."""
+        """Merge an entry from the node itself or from another node."""
         if peer.incarnation == self.own.entry.incarnation:
             self.advance_own(peer.heartbeat, now)
             return
@@ -186,33 +186,33 @@
         if known is None:
             if peer.phase != NodePhase.STOPPED:
                 self._make_room()
-                member = NearMember(entry=peer, heard=now)
+                member = LocalMember(entry=peer, last_seen=now)
                 self._others[peer.incarnation] = member
             return
-        known.take_heartbeat(peer.heartbeat, peer.load, now)
+        known.update_heartbeat(peer.heartbeat, peer.load, now)
         known.revision = max(known.revision, peer.revision)
         known.reachable = known.reachable or peer.reachable
-        self.departures += known.take_phase(peer.phase)
+        self.departures += known.update_phase(peer.phase)
 
     def merge_heartbeats(self, report: HeartbeatReport, now: float) -> None:
-        """Take news of nodes, if the members it is about are known."""
-        members = self._book.find(report.members)
+        """Merge heartbeats, if the set of members they refer to is known."""
+        members = self._roster_cache.find(report.members)
         if members is None or len(report.heartbeats) != len(members):
             return
-        news = zip(
+        updates = zip(
             sorted(members), report.heartbeats, report.loads, strict=False
         )
         own = self.own.entry.incarnation
-        for incarnation, heartbeat, load in news:
+        for incarnation, heartbeat, load in updates:
             known = self._others.get(incarnation)
             if known is not None:
-                known.take_heartbeat(heartbeat, load / PERCENT, now)
+                known.update_heartbeat(heartbeat, load / PERCENT, now)
             elif incarnation == own:
                 self.advance_own(heartbeat, now)
 
     def merge_holders(self, report: DataCentreReport) -> None:
-        """Take which nodes have a configuration revision in force."""
-        members = self._book.find(report.members)
+        """Merge which nodes have a configuration revision in force."""
+        members = self._roster_cache.find(report.members)
         if members is None:
             return
         for incarnation in decode_holders(list(members), report.holders):
@@ -221,11 +221,11 @@
                 known.revision = max(known.revision, report.revision)
 
     def beat(self, now: float) -> None:
-        """Bring the own heartbeat up to date."""
+        """Update the own heartbeat."""
         self.own.heartbeat = self._counter.read(now)
 
     def advance_own(self, heartbeat: int, now: float) -> None:
-        """Catch up with the heartbeat that others expect of this node."""
+        """Advance the own heartbeat to the value that others expect."""
         self._counter.advance(heartbeat, now)
         self.beat(now)
 
@@ -235,29 +235,31 @@
         return 0 if known is None else known.expect_heartbeat(now)
 
     def forget(self, now: float, after_s: float) -> None:
-        """Drop nodes that have been silent for long."""
-        gone = [
+        """Drop nodes without a heartbeat for `after_s` seconds."""
+        expired = [
             key
             for key, member in self._others.items()
-            if now - member.heard > after_s
+            if now - member.last_seen > after_s
         ]
-        for key in gone:
+        for key in expired:
             del self._others[key]
 
     def _make_room(self) -> None:
-        """Drop the node that has been silent longest when there are many."""
+        """Drop the least recently seen node if the limit is reached."""
         if len(self._others) >= MAX_MEMBERS:
-            oldest = min(self._others, key=lambda key: self._others[key].heard)
+            oldest = min(
+                self._others, key=lambda key: self._others[key].last_seen
+            )
             del self._others[oldest]
 
 
-def to_members(near: Iterable[NearMember]) -> Members:
+def to_members(local_members: Iterable[LocalMember]) -> Members:
     """Return members by incarnation."""
-    return {member.entry.incarnation: member.peer for member in near}
+    return {member.entry.incarnation: member.peer for member in local_members}
 
 
-def report_heartbeats(view: NearView) -> HeartbeatReport:
-    """Return the news of members as it is sent to others of them."""
+def report_heartbeats(view: LocalView) -> HeartbeatReport:
+    """Return the heartbeats and loads of members as sent to each other."""
     return HeartbeatReport(
         members=view.key,
         heartbeats=tuple([member.heartbeat for member in view.members]),
@@ -266,7 +268,7 @@
 
 
 def report_data_centre(
-    view: NearView, data_centre: str, clock: int
+    view: LocalView, data_centre: str, clock: int
 ) -> DataCentreReport:
     """Return the report of the own data centre as it is sent."""
     revisions = [member.revision for member in view.members]
@@ -282,11 +284,11 @@
         members=view.key,
         load=mean_load(serving),
         revision=newest,
-        holders=encode_holders([one >= newest for one in revisions]),
+        holders=encode_holders([revision >= newest for revision in revisions]),
     )
 
 
-def _make_view(live: list[NearMember]) -> NearView:
+def _make_view(live: list[LocalMember]) -> LocalView:
     ordered = sorted(live, key=lambda member: member.entry.incarnation)
-    key = hash_traits(member.trait for member in ordered)
-    return NearView(key, tuple(ordered))
+    key = hash_states(member.hashed_state for member in ordered)
+    return LocalView(key, tuple(ordered))
--- a/chervilrock/decisions/membership/promptness.py
+++ b/chervilrock/decisions/membership/promptness.py
@@ -1,43 +1,43 @@
-"""When a node exchanges at once instead of at the end of an interval.
+"""Immediate exchanges of urgent updates, before the end of an interval.
 
 A new configuration and a node that is about to leave are urgent. Each node
-that learns of them tells a peer at once, then further ones while they had not
-heard of it.
+that receives such an update forwards it to a peer immediately, and to further
+peers as long as these lacked it.
 """
 
-ATTEMPTS = 2
-"""Peers to tell in vain before a node stops."""
+MAX_USELESS = 2
+"""Successive peers that had the update already before a node stops."""
 
-MAX_PROMPT = 12
-"""Prompt exchanges after one piece of news."""
+MAX_IMMEDIATE = 12
+"""Maximum number of immediate exchanges after one update."""
 
 
-class Promptness:
-    """Counts the prompt exchanges that are left."""
+class ImmediateExchanges:
+    """Counts the remaining immediate exchanges."""
 
     def __init__(self) -> None:
         self._revision = 0
         self._departures = 0
-        self._vain = 0
+        self._useless = 0
         self._left = 0
 
     def is_due(self, *, revision: int, departures: int) -> bool:
-        """Say whether to exchange at once.
+        """Return whether to exchange immediately.
 
         Args:
           revision: configuration revision in force
-          departures: count of nodes that were seen to leave or stop
+          departures: number of nodes that were observed to leave or stop
         """
         if revision > self._revision or departures > self._departures:
             self._revision = max(revision, self._revision)
             self._departures = departures
-            self._vain = 0
-            self._left = MAX_PROMPT
+            self._useless = 0
+            self._left = MAX_IMMEDIATE
         return self._left > 0
 
     def note_exchange(self, *, was_useful: bool) -> None:
-        """Note an exchange, and whether the peer lacked something."""
+        """Record an exchange, and whether the peer lacked something."""
         self._left = max(0, self._left - 1)
-        self._vain = 0 if was_useful else self._vain + 1
-        if self._vain >= ATTEMPTS:
+        self._useless = 0 if was_useful else self._useless + 1
+        if self._useless >= MAX_USELESS:
             self._left = 0
--- a/chervilrock/decisions/membership/remote.py
+++ b/chervilrock/decisions/membership/remote.py
@@ -1,9 +1,9 @@
-"""What a node knows of another data centre.
+"""The state of another data centre.
 
-The members of a data centre say who they are; nodes elsewhere only hand that
-on. The members of a data centre share a clock, so that nodes elsewhere know
-how old a report is, however it came. A data centre of which no news comes is
-lost, with all its nodes.
+Only the members of a data centre report its membership; nodes elsewhere
+forward these reports. The members of a data centre share a clock, so that nodes
+elsewhere know the age of a report on any path. A data centre without new
+reports is lost, with all its nodes.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
     Members,
     PERCENT,
     rank_phase,
-    RosterBook,
+    RosterCache,
 )
 from chervilrock.generated.interfaces import (
     DataCentreReport,
@@ -32,24 +32,24 @@
 
 
 class RemoteDataCentre:
-    """The nodes of another data centre, as its members tell of them.
+    """The nodes of another data centre, as reported by its members.
 
     Attributes:
       name: name of the data centre
-      heard: when the last report was sent, as far as is known, in seconds
+      last_seen: estimated time at which the last report was sent, in seconds
         of the local clock
-      report: the last report taken, None before the first one
-      departures: counts the nodes that were seen to leave or stop
+      report: the last report applied, None before the first one
+      departures: number of nodes that were observed to leave or stop
     """
 
     def __init__(self, *, name: str, now: float) -> None:
-        """Know no member yet."""
+        """Create a data centre without members."""
         self.name = name
-        self.heard = now
+        self.last_seen = now
         self.report: DataCentreReport | None = None
         self.departures = 0
         self._clock: ClockEstimate | None = None
-        self._book = RosterBook(data_centre=name)
+        self._roster_cache = RosterCache(data_centre=name)
         self._members: Members = {}
         self._phases: dict[str, NodePhase] = {}
         self._revisions: dict[str, int] = {}
@@ -57,58 +57,61 @@
 
     @property
     def entries(self) -> Iterable[PeerNode]:
-        """The members without load, and with old revisions."""
+        """The members without load and with the revisions of the roster."""
         return self._members.values()
 
     @property
     def peers(self) -> list[PeerNode]:
-        """The members with what the last report says of them."""
+        """The members with load and revision of the last report."""
         if self._peers is None:
             self._peers = self._make_peers()
         return self._peers
 
-    def take_roster(self, roster: Roster) -> None:
-        """Remember members, for the report with their hash."""
-        own = all(peer.data_centre == self.name for peer in roster.added)
-        if own and len(roster.added) <= MAX_ROSTER:
-            self._book.read(roster)
+    def apply_roster(self, roster: Roster) -> None:
+        """Cache members, for the report that has their hash."""
+        is_own = all(peer.data_centre == self.name for peer in roster.added)
+        if is_own and len(roster.added) <= MAX_ROSTER:
+            self._roster_cache.read(roster)
 
-    def take_report(
+    def apply_report(
         self, report: DataCentreReport, now: float
     ) -> RosterWant | None:
-        """Take a report, if it is newer and its members are known.
+        """Apply a report, if it is newer and its members are known.
 
         Returns:
-          What to ask for when its members are not known.
+          The members to request, if those of the report are not known.
         """
         known = self.report
         if report.clock >= MAX_COUNTER:
             return None
         if known is not None and report.clock <= known.clock:
             return None
-        members = self._book.find(report.members)
+        members = self._roster_cache.find(report.members)
         if members is None:
             base = "" if known is None else known.members
             return RosterWant(data_centre=self.name, base=base)
         if known is None or known.members != report.members:
             self._replace_members(members)
-        self._take_revision(report)
+        self._apply_revision(report)
         self.report = report
-        self.heard = self._estimate(report.clock, now)
+        self.last_seen = self._estimate(report.clock, now)
         self._peers = None
         return None
 
     def make_roster(self, base: str) -> Roster | None:
-        """Return the members, as a difference to a set of members."""
+        """Return the members as a difference from a set of members."""
         if self.report is None:
             return None
-        members = self._book.find(self.report.members)
-        return None if members is None else self._book.make(members, base)
+        members = self._roster_cache.find(self.report.members)
+        return (
+            None if members is None else self._roster_cache.make(members, base)
+        )
 
     def report_to_members(self, now: float) -> DataCentreReport | None:
         """Return the last report, with the clock that is expected now.
 
-        It is for the members, who may have lost their clock by a restart.
+        It is sent to the members, which may have lost their clock at a
+        restart.
         """
         if self.report is None or self._clock is None:
             return None
@@ -116,13 +119,13 @@
         return self.report._replace(clock=clock)
 
     def _estimate(self, clock: int, now: float) -> float:
-        """Return when a report with a clock was sent."""
+        """Return the estimated time at which a report was sent."""
         if self._clock is None:
             self._clock = ClockEstimate(counter=clock, now=now)
-        return self._clock.take(clock, now)
+        return self._clock.update(clock, now)
 
     def _replace_members(self, members: Members) -> None:
-        """Take other members; a phase never goes back."""
+        """Replace the members; phases and revisions never decrease."""
         phases = {}
         for key, peer in members.items():
             old = self._phases.get(key, NodePhase.STARTING)
@@ -137,7 +140,7 @@
             for key, peer in members.items()
         }
 
-    def _take_revision(self, report: DataCentreReport) -> None:
+    def _apply_revision(self, report: DataCentreReport) -> None:
         known = self.report
         if (
             known is not None
--- a/chervilrock/decisions/membership/remotes.py
+++ b/chervilrock/decisions/membership/remotes.py
@@ -1,4 +1,4 @@
-"""What a node knows of all other data centres."""
+"""The state of all other data centres."""
 
 from collections.abc import Mapping
 
@@ -17,17 +17,17 @@
     """The other data centres by name.
 
     Attributes:
-      departures: counts the nodes that were seen to leave or stop
+      departures: number of nodes that were observed to leave or stop
     """
 
     def __init__(self) -> None:
         self._remotes: dict[str, RemoteDataCentre] = {}
         self.departures = 0
 
-    def take_report(
+    def apply_report(
         self, report: DataCentreReport, now: float
     ) -> RosterWant | None:
-        """Take a report; return what to ask its sender for."""
+        """Apply a report; return the members to request from its sender."""
         remote = self._remotes.get(report.data_centre)
         if remote is None:
             if len(self._remotes) >= MAX_DATA_CENTRES:
@@ -35,30 +35,30 @@
             remote = RemoteDataCentre(name=report.data_centre, now=now)
             self._remotes[report.data_centre] = remote
         before = remote.departures
-        want = remote.take_report(report, now)
+        want = remote.apply_report(report, now)
         self.departures += remote.departures - before
         return want
 
-    def take_roster(self, roster: Roster) -> None:
-        """Take the members of a data centre."""
+    def apply_roster(self, roster: Roster) -> None:
+        """Apply the members of a data centre."""
         remote = self._remotes.get(roster.data_centre)
         if remote is not None:
-            remote.take_roster(roster)
+            remote.apply_roster(roster)
 
     def make_roster(
         self, want: RosterWant, now: float, lost_after_s: float
     ) -> Roster | None:
-        """Return the members that another node asks for, if known.
+        """Return the members that another node requests, if known.
 
-        The members of a lost data centre are told to nobody: a new node
-        there would take them for live.
+        The members of a lost data centre are not sent: a new node there
+        would consider them live.
         """
         remote = self._remotes.get(want.data_centre)
-        if remote is None or now - remote.heard > lost_after_s:
+        if remote is None or now - remote.last_seen > lost_after_s:
             return None
         return remote.make_roster(want.base)
 
-    def report_one(self, name: str) -> DataCentreReport | None:
+    def find_report(self, name: str) -> DataCentreReport | None:
         """Return the last report of a data centre, if there is one."""
         remote = self._remotes.get(name)
         return None if remote is None else remote.report
@@ -71,27 +71,31 @@
         return None if remote is None else remote.report_to_members(now)
 
     def report_fresh(
-        self, now: float, fresh_s: float, limit: int, told: Mapping[str, int]
+        self,
+        now: float,
+        fresh_s: float,
+        limit: int,
+        known_clocks: Mapping[str, int],
     ) -> list[DataCentreReport]:
-        """Return the newest reports, to be handed on.
+        """Return the newest reports, to forward them.
 
         Args:
           now: present time
-          fresh_s: greatest age of a report in seconds
-          limit: greatest number of reports
-          told: clocks that the receiver knows by data centre
+          fresh_s: maximum age of a report in seconds
+          limit: maximum number of reports
+          known_clocks: clocks that the receiver knows by data centre
         """
         fresh = [
             remote
             for remote in self._remotes.values()
-            if now - remote.heard <= fresh_s
+            if now - remote.last_seen <= fresh_s
         ]
-        fresh.sort(key=lambda remote: -remote.heard)
+        fresh.sort(key=lambda remote: -remote.last_seen)
         reports = [
             remote.report
             for remote in fresh
             if remote.report is not None
-            and remote.report.clock > told.get(remote.name, -1)
+            and remote.report.clock > known_clocks.get(remote.name, -1)
         ]
         return reports[:limit]
 
@@ -100,12 +104,12 @@
         return [
             peer
             for remote in self._remotes.values()
-            if now - remote.heard <= lost_after_s
+            if now - remote.last_seen <= lost_after_s
             for peer in remote.peers
         ]
 
     def peers(self) -> list[PeerNode]:
-        """Return all members, those of lost data centres too."""
+        """Return all members, including those of lost data centres."""
         return [
             peer for remote in self._remotes.values() for peer in remote.peers
         ]
@@ -117,7 +121,7 @@
         ]
 
     def share_reachable(self) -> float:
-        """Return which share of the members is known to be reachable."""
+        """Return the share of members known to be reachable, 1 without any."""
         entries = self.entries()
         if not entries:
             return 1.0
@@ -130,24 +134,24 @@
         late = [
             remote
             for remote in self._remotes.values()
-            if late_s < now - remote.heard <= lost_after_s
+            if late_s < now - remote.last_seen <= lost_after_s
         ]
         if not late:
             return None
-        return min(late, key=lambda remote: remote.heard).name
+        return min(late, key=lambda remote: remote.last_seen).name
 
     def has_lost(self, now: float, lost_after_s: float) -> bool:
-        """Say whether a data centre is lost."""
+        """Return whether a data centre is lost."""
         return any(
-            now - remote.heard > lost_after_s
+            now - remote.last_seen > lost_after_s
             for remote in self._remotes.values()
         )
 
     def forget(self, now: float, after_s: float) -> list[PeerNode]:
-        """Drop data centres that are lost for long; return their members."""
-        gone: list[PeerNode] = []
+        """Drop data centres without reports for `after_s`; return members."""
+        dropped: list[PeerNode] = []
         for name, remote in list(self._remotes.items()):
-            if now - remote.heard > after_s:
-                gone += remote.peers
+            if now - remote.last_seen > after_s:
+                dropped += remote.peers
                 del self._remotes[name]
-        return gone
+        return dropped
--- a/chervilrock/decisions/membership/rosters.py
+++ b/chervilrock/decisions/membership/rosters.py
@@ -1,7 +1,7 @@
-"""The members of a data centre as a value with a hash.
+"""Sets of members of a data centre, identified by a hash.
 
-Nodes compare hashes and ask for the members only when these differ. A node
-remembers the last sets of members, so that it can send and read differences.
+Nodes compare hashes and request the members only if these differ. A node caches
+the most recent sets of members, so that it can send and apply differences.
 """
 
 from collections import OrderedDict
@@ -12,7 +12,7 @@
 from chervilrock.generated.interfaces import NodePhase, PeerNode, Roster
 
 MAX_SETS = 6
-"""Sets of members that are remembered for each data centre."""
+"""Number of sets of members that are cached for each data centre."""
 
 MAX_LOAD = 10.0
 PERCENT = 100
@@ -20,7 +20,7 @@
 Members = Mapping[str, PeerNode]
 """Members of a data centre by incarnation."""
 
-Trait = tuple[str, NodePhase, bool]
+HashedState = tuple[str, NodePhase, bool]
 """Incarnation, phase, and whether the node is reachable."""
 
 _HEXADECIMAL = 16
@@ -29,37 +29,37 @@
 
 
 def rank_phase(phase: NodePhase) -> int:
-    """Return the place of a phase in the life of a node."""
+    """Return the position of a phase in the lifecycle of a node."""
     return _RANKS[phase]
 
 
 def is_departing(phase: NodePhase) -> bool:
-    """Say whether a node in this phase takes no new callers any more."""
+    """Return whether a node in this phase accepts no new callers."""
     return _RANKS[phase] >= _RANKS[NodePhase.LEAVING]
 
 
-def hash_traits(traits: Iterable[Trait]) -> str:
-    """Return a hash of traits, which are in the order of incarnations."""
-    parts = [f"{key}{phase}{reachable:d}" for key, phase, reachable in traits]
+def hash_states(states: Iterable[HashedState]) -> str:
+    """Return a hash of states, which are in the order of incarnations."""
+    parts = [f"{key}{phase}{reachable:d}" for key, phase, reachable in states]
     return xxhash.xxh32_hexdigest("\n".join(parts).encode())
 
 
-def read_trait(peer: PeerNode) -> Trait:
-    """Return what of an entry makes a set of members another one."""
+def read_state(peer: PeerNode) -> HashedState:
+    """Return the fields of an entry that are part of the hash."""
     return peer.incarnation, peer.phase, peer.reachable
 
 
 def hash_members(members: Members) -> str:
-    """Return a hash of the traits of members."""
-    return hash_traits(read_trait(members[key]) for key in sorted(members))
+    """Return a hash of a set of members."""
+    return hash_states(read_state(members[key]) for key in sorted(members))
 
 
-def encode_holders(holds: Sequence[bool]) -> str:
-    """Return marks of members, in their order, as text; empty for all."""
-    if all(holds):
+def encode_holders(marks: Sequence[bool]) -> str:
+    """Encode a bitmap of members as hexadecimal, empty if all are marked."""
+    if all(marks):
         return ""
     bits = 0
-    for mark in holds:
+    for mark in marks:
         bits = bits * 2 + mark
     return f"{bits:x}"
 
@@ -67,7 +67,7 @@
 def decode_holders(incarnations: list[str], holders: str) -> list[str]:
     """Return the incarnations that `encode_holders` marked.
 
-    Text that is no such mark stands for no member.
+    Text that is not hexadecimal marks no member.
     """
     if not holders:
         return incarnations
@@ -75,7 +75,9 @@
         return []
     bits = int(holders, _HEXADECIMAL)
     backwards = sorted(incarnations, reverse=True)
-    return [key for place, key in enumerate(backwards) if bits >> place & 1]
+    return [
+        key for position, key in enumerate(backwards) if bits >> position & 1
+    ]
 
 
 def mean_load(loads: Sequence[float]) -> int:
@@ -86,11 +88,11 @@
     return round(PERCENT * sum(bounded) / len(bounded))
 
 
-class RosterBook:
-    """The last sets of members of one data centre."""
+class RosterCache:
+    """A cache of the most recent sets of members of one data centre."""
 
     def __init__(self, *, data_centre: str) -> None:
-        """Remember no set.
+        """Create an empty cache.
 
         Args:
           data_centre: name of the data centre
@@ -102,7 +104,7 @@
         return key in self._sets
 
     def keep(self, members: Members) -> None:
-        """Remember a set of members."""
+        """Add a set of members and evict the least recently used one."""
         key = hash_members(members)
         self._sets[key] = members
         self._sets.move_to_end(key)
@@ -110,14 +112,14 @@
             self._sets.popitem(last=False)
 
     def find(self, key: str) -> Members | None:
-        """Return a remembered set of members by its hash."""
+        """Return a cached set of members by its hash."""
         members = self._sets.get(key)
         if members is not None:
             self._sets.move_to_end(key)
         return members
 
     def make(self, members: Members, base: str) -> Roster:
-        """Return members as a difference to a set, whole if it is unknown."""
+        """Return members as a difference from a base, all if it is unknown."""
         known = self._sets.get(base)
         if known is None:
             base, known = "", {}
@@ -129,15 +131,15 @@
                 peer
                 for key, peer in members.items()
                 if key not in known
-                or read_trait(known[key]) != read_trait(peer)
+                or read_state(known[key]) != read_state(peer)
             ),
             removed=tuple(key for key in known if key not in members),
         )
 
     def read(self, roster: Roster) -> None:
-        """Remember the members that a roster describes.
+        """Cache the members that a roster describes.
 
-        Nothing is remembered when the base is unknown or the hash is wrong.
+        A roster with an unknown base or a wrong hash is ignored.
         """
         known = self._sets.get(roster.base) if roster.base else {}
         if known is None:
--- a/chervilrock/decisions/membership/shelf.py
+++ b/chervilrock/decisions/membership/shelf.py
@@ -1,4 +1,4 @@
-"""What an exchange carries besides membership, as seen by the exchange."""
+"""Interfaces to the data that an exchange carries besides membership."""
 
 import abc
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 
 class ConfigurationShelf(abc.ABC):
-    """Where an exchange finds and leaves accepted configurations."""
+    """The configuration of this node, as read and updated by exchanges."""
 
     @abc.abstractmethod
     def current(self) -> StoredRecord | None:
@@ -17,7 +17,7 @@
 
     @abc.abstractmethod
     def adopt(self, stored: StoredRecord, now: float) -> None:
-        """Take over a record that a peer handed on, if it is newer."""
+        """Adopt a record that a peer sent, if it is newer."""
 
     @property
     @abc.abstractmethod
@@ -25,7 +25,7 @@
         """Revision of the configuration in force, 0 for none."""
 
     def follows_log(self, now: float) -> bool:
-        """Say whether the log was read lately, so that news comes from it."""
+        """Return whether the log was read recently and delivers updates."""
         del now
         return True
 
@@ -34,10 +34,10 @@
     """Counts the requests of bounded workspaces at all nodes."""
 
     def shares(self, now: float) -> tuple[NodeUse, ...]:
-        """Return what this node and its peers run."""
+        """Return the requests in progress at this node and its peers."""
 
     def observe_peer_shares(self, uses: Iterable[NodeUse], now: float) -> None:
-        """Learn what peers run."""
+        """Record the requests in progress at peers."""
 
     def observe_members(self, members: Iterable[str], now: float) -> None:
-        """Learn which nodes may run requests, reachable or not."""
+        """Record which nodes may run requests, reachable or not."""
--- a/chervilrock/decisions/membership/soundness.py
+++ b/chervilrock/decisions/membership/soundness.py
@@ -1,7 +1,7 @@
-"""Whether the numbers of a digest can be right.
+"""Validation of the values of a digest.
 
-A peer that sends nonsense must not be able to set a counter so high that true
-news never exceeds it, nor to fill the memory of a node.
+A faulty peer must not be able to set a counter so high that valid updates never
+exceed it, nor to exhaust the memory of a node.
 """
 
 from collections.abc import Iterable
@@ -12,44 +12,44 @@
 from chervilrock.generated.interfaces import PeerDigest, PeerNode
 
 MAX_LOAD = 10**6
-MAX_TEXT = 256
-MAX_LIST = 2048
+MAX_TEXT_LENGTH = 256
+MAX_LIST_LENGTH = 2048
 
 
 def is_sound(digest: PeerDigest) -> bool:
-    """Say whether all values of a digest are within their bounds."""
+    """Return whether all values of a digest are within their bounds."""
     lists = (
         digest.get("data_centres", ()),
         digest.get("wants", ()),
         digest.get("rosters", ()),
         digest.get("shares", ()),
     )
-    if any(len(one) > MAX_LIST for one in lists):
+    if any(len(values) > MAX_LIST_LENGTH for values in lists):
         return False
     return (
-        _has_sound_peers(digest)
+        _has_valid_peers(digest)
         and _are_counters(_list_counters(digest))
         and all(0 <= load <= MAX_LOAD for load in _list_loads(digest))
-        and all(len(text) <= MAX_TEXT for text in _list_texts(digest))
+        and all(len(text) <= MAX_TEXT_LENGTH for text in _list_texts(digest))
     )
 
 
-def _has_sound_peers(digest: PeerDigest) -> bool:
+def _has_valid_peers(digest: PeerDigest) -> bool:
     added = [roster.added for roster in digest.get("rosters", ())]
-    if any(len(peers) > MAX_LIST for peers in added):
+    if any(len(peers) > MAX_LIST_LENGTH for peers in added):
         return False
     peers = (digest["sender"], *itertools.chain.from_iterable(added))
-    return all(_is_sound_peer(peer) for peer in peers)
+    return all(_is_valid_peer(peer) for peer in peers)
 
 
-def _is_sound_peer(peer: PeerNode) -> bool:
+def _is_valid_peer(peer: PeerNode) -> bool:
     texts = (peer.node, peer.incarnation, peer.address, peer.data_centre)
     return (
         _are_counters((peer.heartbeat, peer.revision))
         and math.isfinite(peer.load)
         and 0 <= peer.load <= MAX_LOAD
-        and all(0 < len(text) <= MAX_TEXT for text in texts)
-        and len(peer.region) <= MAX_TEXT
+        and all(0 < len(text) <= MAX_TEXT_LENGTH for text in texts)
+        and len(peer.region) <= MAX_TEXT_LENGTH
     )
 
 
--- a/chervilrock/decisions/membership/table.py
+++ b/chervilrock/decisions/membership/table.py
@@ -1,17 +1,18 @@
-"""What a node knows of the other nodes.
+"""The membership table of a node.
 
-A node is known by its incarnation, which changes at every start, so a
-restarted node is a new entry and an old one only times out. Of its own data
-centre a node knows each heartbeat; of others, what their members report.
+A node is identified by its incarnation, which changes at every start, so a
+restarted node is a new entry and the old one times out. The table contains
+each heartbeat of the own data centre; for other data centres it contains what
+their members report.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 from chervilrock.decisions.membership.clocks import TICK_S
-from chervilrock.decisions.membership.former import FormerMembers
+from chervilrock.decisions.membership.former import DroppedMembers
 from chervilrock.decisions.membership.local import LocalDataCentre
-from chervilrock.decisions.membership.near import NearMember
+from chervilrock.decisions.membership.near import LocalMember
 from chervilrock.decisions.membership.remotes import RemoteDataCentres
 from chervilrock.decisions.membership.rosters import is_departing
 from chervilrock.decisions.membership.timing import (
@@ -29,21 +30,21 @@
 )
 
 DEFAULT_INTERVAL_S = 0.5
-SNAPSHOT_S = 0.1
-"""Greatest age of the list of live nodes that is given out again."""
+MAX_SNAPSHOT_AGE_S = 0.1
+"""Maximum age of the cached list of live nodes."""
 
 
 class _Snapshot(NamedTuple):
     live: tuple[PeerNode, ...]
     changes: int
-    made: float
+    made_at: float
 
 
 class MemberTable:
-    """The nodes that this node has heard of.
+    """The nodes that this node knows.
 
     Attributes:
-      size: number of nodes that are taken for live
+      size: number of nodes that are considered live
       timing: times of the exchange for this number of nodes
       share_reachable: share of the nodes of other data centres that are
         reachable from elsewhere
@@ -52,17 +53,17 @@
     def __init__(
         self, *, own: PeerNode, interval_s: float = DEFAULT_INTERVAL_S
     ) -> None:
-        """Know only this node.
+        """Create a table that contains only this node.
 
         Args:
-          own: entry of this node
+          own: the entry of this node
           interval_s: time between two exchanges in a small system
         """
         self._interval_s = interval_s
         self._local = LocalDataCentre(own=own)
-        self._near = self._local.near
+        self._members = self._local.local_members
         self._remotes = RemoteDataCentres()
-        self._former = FormerMembers()
+        self._dropped_members = DroppedMembers()
         self._departures = 0
         self._changes = 0
         self._snapshot = _Snapshot((own,), -1, 0.0)
@@ -72,21 +73,23 @@
 
     @property
     def own(self) -> PeerNode:
-        """What this node says of itself."""
-        return self._near.own.peer
+        """The entry of this node, as it reports it."""
+        return self._members.own.peer
 
     @property
     def departures(self) -> int:
-        """Count of the nodes that were seen to leave or stop."""
+        """Number of nodes that were observed to leave or stop."""
         return (
-            self._departures + self._near.departures + self._remotes.departures
+            self._departures
+            + self._members.departures
+            + self._remotes.departures
         )
 
     def update_own(
         self, *, phase: NodePhase, load: float, revision: int
     ) -> None:
-        """Set what this node says of itself."""
-        own = self._near.own
+        """Set the state that this node reports of itself."""
+        own = self._members.own
         if is_departing(phase) and phase != own.phase:
             self._departures += 1
         own.phase = phase
@@ -95,84 +98,88 @@
         self._changes += 1
 
     def beat(self, now: float) -> None:
-        """Bring the own entry up to date, and drop nodes silent for long.
+        """Update the own heartbeat and drop nodes without contact for too long.
 
-        It is called once an exchange interval.
+        It is called once per exchange interval.
         """
         self._local.beat(now)
-        self._former.add(self._remotes.forget(now, FORGET_AFTER_S), now)
+        self._dropped_members.add(
+            self._remotes.forget(now, FORGET_AFTER_S), now
+        )
         self._changes += 1
-        self.size = 1 + len(self.near_live(now)) + len(self._remotes.entries())
+        self.size = (
+            1 + len(self.list_local_live(now)) + len(self._remotes.entries())
+        )
         self.timing = make_timing(self._interval_s, self.size)
         self.share_reachable = self._remotes.share_reachable()
 
     def note_reached(self) -> None:
-        """Note that a node of another data centre reached this one."""
-        self._near.own.reachable = True
+        """Record that a node of another data centre reached this one."""
+        self._members.own.reachable = True
 
     def note_exchange(self, sender: PeerNode, now: float) -> None:
-        """Note an exchange with a node and take what it says of itself."""
+        """Record an exchange with a node and merge its entry."""
         self._local.contact.note_exchange(now, self.timing.overdue_s)
         if sender.data_centre == self._local.name:
-            self._near.merge_entry(sender, now)
+            self._members.merge_entry(sender, now)
             self._changes += 1
 
     def expect_heartbeat(self, peer: PeerNode, now: float) -> int:
-        """Return the heartbeat to tell a node whose clock stood still.
+        """Return the heartbeat to send to a node whose clock stood still.
 
         Returns:
-          0 when the node is not known here or its heartbeat is not late.
+          0 if the node is not known here or its heartbeat is not late.
         """
-        expected = self._near.expect_heartbeat(peer.incarnation, now)
+        expected = self._members.expect_heartbeat(peer.incarnation, now)
         late = (expected - peer.heartbeat) * TICK_S
         return expected if late > self.timing.interval_s else 0
 
     def advance_heartbeat(self, heartbeat: int, now: float) -> None:
-        """Take the heartbeat that another node expects of this one."""
-        self._near.advance_own(heartbeat, now)
+        """Advance the own heartbeat to the value that another node expects."""
+        self._members.advance_own(heartbeat, now)
 
     def merge_heartbeats(self, report: HeartbeatReport, now: float) -> None:
-        """Take news of the nodes of the own data centre."""
-        self._near.merge_heartbeats(report, now)
+        """Merge heartbeats of the nodes of the own data centre."""
+        self._members.merge_heartbeats(report, now)
         self._changes += 1
 
     def merge_report(
-        self, report: DataCentreReport, now: float, *, from_near: bool
+        self, report: DataCentreReport, now: float, *, from_local: bool
     ) -> RosterWant | None:
-        """Take the report of a data centre.
+        """Merge the report of a data centre.
 
         Args:
           report: the report
           now: present time
-          from_near: whether a node of the own data centre sent it
+          from_local: whether a node of the own data centre sent it
 
         Returns:
-          What to ask the sender for, when it knows other members.
+          The members to request from the sender, if it knows others.
         """
         self._changes += 1
         if report.data_centre == self._local.name:
             return self._local.compare(
-                report, now, self.timing, from_near=from_near
+                report, now, self.timing, from_local=from_local
             )
-        return self._remotes.take_report(report, now)
+        return self._remotes.apply_report(report, now)
 
     def merge_roster(self, roster: Roster, now: float) -> None:
-        """Take the members of a data centre."""
+        """Merge the members of a data centre."""
         self._changes += 1
         if roster.data_centre == self._local.name:
             self._local.merge_roster(roster, now, self.timing)
         else:
-            self._remotes.take_roster(roster)
+            self._remotes.apply_roster(roster)
 
     def make_roster(self, want: RosterWant, now: float) -> Roster | None:
-        """Return the members that another node asks for, if known."""
+        """Return the members that another node requests, if known."""
         if want.data_centre == self._local.name:
             return self._local.make_roster(want.base, now, self.timing)
         lost_after_s = self.timing.lost_after_s
         return self._remotes.make_roster(want, now, lost_after_s)
 
     def report_heartbeats(self, now: float) -> HeartbeatReport:
-        """Return the news of the nodes of the own data centre."""
+        """Return the heartbeats of the nodes of the own data centre."""
         return self._local.report_heartbeats(now, self.timing)
 
     def report_own(self, now: float) -> DataCentreReport:
@@ -180,54 +187,61 @@
         return self._local.report(now, self.timing)
 
     def may_report(self, now: float) -> bool:
-        """Say whether this node may speak for its data centre elsewhere."""
+        """Return whether this node may report for its data centre."""
         return self._local.may_report(now, self.timing)
 
     def report_remotes(
-        self, now: float, limit: int, receiver: str, told: Mapping[str, int]
+        self,
+        now: float,
+        limit: int,
+        receiver: str,
+        known_clocks: Mapping[str, int],
     ) -> list[DataCentreReport]:
         """Return the newest reports of other data centres.
 
         Args:
           now: present time
-          limit: greatest number of reports
-          receiver: data centre of the receiver; its report comes at any
-            age, with the clock that is expected
-          told: clocks that the receiver knows by data centre
+          limit: maximum number of reports
+          receiver: data centre of the receiver; its report is included at any
+            age, with the clock that is expected now
+          known_clocks: clocks that the receiver knows by data centre
         """
         fresh_s = self.timing.fresh_s
-        theirs = self._remotes.report_to_members(receiver, now)
-        if theirs is None:
-            return self._remotes.report_fresh(now, fresh_s, limit, told)
-        told = {**told, receiver: theirs.clock}
-        reports = self._remotes.report_fresh(now, fresh_s, limit, told)
-        return [*reports, theirs]
-
-    def report_one(
+        receiver_report = self._remotes.report_to_members(receiver, now)
+        if receiver_report is None:
+            return self._remotes.report_fresh(now, fresh_s, limit, known_clocks)
+        known_clocks = {**known_clocks, receiver: receiver_report.clock}
+        reports = self._remotes.report_fresh(now, fresh_s, limit, known_clocks)
+        return [*reports, receiver_report]
+
+    def find_report(
         self, data_centre: str, now: float
     ) -> DataCentreReport | None:
-        """Return the report of a data centre, None when there is none."""
+        """Return the report of a data centre, None if there is none."""
         if data_centre == self._local.name:
             return self.report_own(now)
-        return self._remotes.report_one(data_centre)
+        return self._remotes.find_report(data_centre)
 
     def live(self, now: float) -> tuple[PeerNode, ...]:
         """Return the live nodes, this one first."""
-        kept = self._snapshot
-        if kept.changes == self._changes and 0 <= now - kept.made <= SNAPSHOT_S:
-            return kept.live
+        snapshot = self._snapshot
+        if (
+            snapshot.changes == self._changes
+            and 0 <= now - snapshot.made_at <= MAX_SNAPSHOT_AGE_S
+        ):
+            return snapshot.live
         live = (
             self.own,
-            *(member.peer for member in self.near_live(now)),
+            *(member.peer for member in self.list_local_live(now)),
             *self._remotes.live(now, self.timing.lost_after_s),
         )
         self._snapshot = _Snapshot(live, self._changes, now)
         return live
 
     def known(self, now: float) -> tuple[tuple[PeerNode, bool], ...]:
-        """Return every node that is listed, and whether it lives."""
+        """Return every node that is listed, and whether it is live."""
         live = {peer.incarnation for peer in self.live(now)}
-        others = [member.peer for member in self._list_near(now)]
+        others = [member.peer for member in self._list_local(now)]
         others += self._remotes.peers()
         return (
             (self.own, True),
@@ -237,7 +251,7 @@
     def list_names(self, now: float) -> list[str]:
         """Return the names of all nodes that are listed, live or not."""
         names = [self.own.node]
-        names += [member.entry.node for member in self._list_near(now)]
+        names += [member.entry.node for member in self._list_local(now)]
         names += [peer.node for peer in self._remotes.entries()]
         return names
 
@@ -248,18 +262,22 @@
                 return peer
         return None
 
-    def near_live(self, now: float) -> list[NearMember]:
+    def list_local_live(self, now: float) -> list[LocalMember]:
         """Return the other live nodes of the own data centre."""
-        return self._near.live(now, self.timing.dead_after_s)
+        return self._members.live(now, self.timing.dead_after_s)
 
-    def list_silent(self, now: float) -> list[NearMember]:
-        """Return the nodes of the own data centre that do not live."""
+    def list_dead(self, now: float) -> list[LocalMember]:
+        """Return the nodes of the own data centre that are dead."""
         limit = self.timing.dead_after_s
-        return [one for one in self._near.others if now - one.heard > limit]
+        return [
+            member
+            for member in self._members.others
+            if now - member.last_seen > limit
+        ]
 
-    def take_disputed(self) -> PeerNode | None:
-        """Return a silent node that another one named as live, if any."""
-        return self._local.take_disputed()
+    def pop_disputed(self) -> PeerNode | None:
+        """Remove and return a dead node that another one reported as live."""
+        return self._local.pop_disputed()
 
     def find_late(self, now: float) -> str | None:
         """Return the data centre that will soon count as lost, if any."""
@@ -267,29 +285,29 @@
         return self._remotes.find_late(now, timing.late_s, timing.lost_after_s)
 
     def has_lost(self, now: float) -> bool:
-        """Say whether a data centre is lost."""
+        """Return whether a data centre is lost."""
         return self._remotes.has_lost(now, self.timing.lost_after_s)
 
-    def list_distant(self, now: float) -> dict[str, list[PeerNode]]:
-        """Return nodes that are worth a try now and then.
+    def list_trial_candidates(self, now: float) -> dict[str, list[PeerNode]]:
+        """Return the nodes for occasional trials.
 
-        These are nodes of other data centres and nodes that are dead or were
-        dropped, for they may come back after a partition.
+        These are nodes of other data centres, and nodes that are dead or were
+        dropped and may recover after a partition.
 
         Returns:
           Entries by data centre.
         """
-        near = [member.entry for member in self.list_silent(now)]
-        former = self._former.peers()
+        local_members = [member.entry for member in self.list_dead(now)]
+        dropped = self._dropped_members.peers()
         found: dict[str, list[PeerNode]] = {}
-        for peer in (*near, *self._remotes.entries(), *former):
+        for peer in (*local_members, *self._remotes.entries(), *dropped):
             found.setdefault(peer.data_centre, []).append(peer)
         return found
 
-    def _list_near(self, now: float) -> list[NearMember]:
+    def _list_local(self, now: float) -> list[LocalMember]:
         """Return the nodes of the own data centre that are listed."""
         return [
             member
-            for member in self._near.others
-            if now - member.heard <= FORGET_AFTER_S
+            for member in self._members.others
+            if now - member.last_seen <= FORGET_AFTER_S
         ]
--- a/chervilrock/decisions/membership/timing.py
+++ b/chervilrock/decisions/membership/timing.py
@@ -1,8 +1,8 @@
 """Times of the peer exchange, which grow with the number of nodes.
 
-Traffic of a node goes with exchanges a second and with the number of nodes,
-so larger systems exchange less often and wait longer before they take a node
-for dead.
+The traffic of a node is proportional to the exchanges per second and to the
+number of nodes, so larger systems exchange less often and wait longer before
+they consider a node dead.
 """
 
 from typing import NamedTuple
@@ -16,10 +16,10 @@
 LOST_INTERVALS = 8
 FRESH_INTERVALS = 4
 FORGET_AFTER_S = 60.0
-"""Silence after which a node is no longer listed."""
+"""Time without a heartbeat after which a node is no longer listed."""
 
 DROP_AFTER_S = 7200.0
-"""Silence after which a node of the own data centre is forgotten."""
+"""Time without a heartbeat after which a local node is dropped."""
 
 
 class PeerTiming(NamedTuple):
@@ -27,13 +27,13 @@
 
     Attributes:
       interval_s: time between two exchanges that a node begins
-      overdue_s: age of the last heartbeat at which a node is asked itself
+      overdue_s: age of the last heartbeat at which a node is contacted directly
       dead_after_s: age of the last heartbeat at which a node of the own data
         centre is dead
       late_s: age of the last report at which a node of a data centre is
-        asked itself
+        contacted directly
       lost_after_s: age of the last report at which a data centre is lost
-      fresh_s: greatest age of news that is handed on
+      fresh_s: maximum age of reports that are forwarded
     """
 
     interval_s: float
--- a/chervilrock/decisions/membership/wanting.py
+++ b/chervilrock/decisions/membership/wanting.py
@@ -1,8 +1,8 @@
-"""When a node asks a peer for a configuration.
+"""Decision when a node requests a configuration from a peer.
 
-Most nodes read a new configuration from the log before they hear of it, and
-a document is large. So nobody sends a document unasked, and a node that
-follows the log asks only when the log has not brought it for a while.
+Most nodes read a new configuration from the log before a peer reports it, and
+a document is large. Documents are therefore sent only on request, and a node
+that follows the log requests one only if the log has not delivered it in time.
 """
 
 from typing import Any
@@ -12,36 +12,36 @@
 from chervilrock.decisions.membership.shelf import ConfigurationShelf
 from chervilrock.generated.records import StoredRecord
 
-GRACE_S = 1.0
-"""Time that a node leaves to the log, in seconds."""
+LOG_GRACE_S = 1.0
+"""Time that a node waits for delivery by the log, in seconds."""
 
 
-class ConfigurationWant:
-    """Whether a node lacks a configuration that peers have."""
+class FetchPolicy:
+    """Decides when to request a configuration that peers have."""
 
     def __init__(self, *, shelf: ConfigurationShelf) -> None:
-        self._shelf = shelf
-        self._heard_revision = 0
-        self._heard_at = 0.0
+        self._configuration = shelf
+        self._peer_revision = 0
+        self._peer_revision_at = 0.0
 
     def note_revision(self, revision: int, now: float) -> None:
-        """Note the revision that a peer has in force."""
-        known = max(self._heard_revision, self._shelf.revision)
+        """Record the revision that a peer has in force."""
+        known = max(self._peer_revision, self._configuration.revision)
         if revision > known:
-            self._heard_at = now
-        self._heard_revision = max(self._heard_revision, revision)
+            self._peer_revision_at = now
+        self._peer_revision = max(self._peer_revision, revision)
 
     def is_due(self, revision: int, now: float) -> bool:
-        """Say whether to ask a peer that has a revision in force for it."""
-        if revision <= self._shelf.revision:
+        """Return whether to request the revision that a peer has in force."""
+        if revision <= self._configuration.revision:
             return False
-        if not self._shelf.follows_log(now):
+        if not self._configuration.follows_log(now):
             return True
-        return now - self._heard_at >= GRACE_S
+        return now - self._peer_revision_at >= LOG_GRACE_S
 
 
 def read_configuration(raw: Any) -> StoredRecord | None:
-    """Return the record that a digest carries, None when it is none."""
+    """Return the record that a digest carries, None if it is invalid."""
     if raw is None:
         return None
     try:
--- a/test/decisions/membership/peer_world.py
+++ b/test/decisions/membership/peer_world.py
@@ -99,7 +99,7 @@
         self.shelf = Shelf(follows=follows)
         self.shares = Shares()
         self.paused = False
-        self.lag = 0.0
+        self.lag_s = 0.0
         generator = random.Random(f"{name}.{start}")
         self.table = MemberTable(
             own=make_node(
@@ -149,7 +149,7 @@
         self.now = 1000.0
         self.nodes: dict[str, SimNode] = {}
         self.sides: dict[str, int] = {}
-        self.apart: set[str] = set()
+        self.isolated: set[str] = set()
         self.carried: list[PeerDigest] = []
 
     def add(self, node: SimNode) -> SimNode:
@@ -161,7 +161,7 @@
 
     def clock(self, node: SimNode) -> float:
         """Returns the time that a node reads."""
-        return self.now - node.lag
+        return self.now - node.lag_s
 
     def active(self) -> list[SimNode]:
         return [node for node in self.nodes.values() if not node.paused]
@@ -175,9 +175,9 @@
                 node.update()
                 for message in node.exchange.begin(self.clock(node)):
                     self.carry(node, message)
-                self.run_prompt(node)
+                self.run_immediate(node)
 
-    def run_prompt(self, node: SimNode) -> None:
+    def run_immediate(self, node: SimNode) -> None:
         """Lets a node tell its urgent news."""
         for _ in range(12):
             if not node.exchange.wants_prompt():
@@ -209,7 +209,7 @@
             node.update()
 
     def is_cut(self, one: SimNode, other: SimNode) -> bool:
-        if (one.name in self.apart) != (other.name in self.apart):
+        if (one.name in self.isolated) != (other.name in self.isolated):
             return True
         if not self.sides:
             return False
@@ -217,7 +217,7 @@
         return self.sides[places[0]] != self.sides[places[1]]
 
     def agree(self) -> bool:
-        """Says whether every node takes just the running nodes for live."""
+        """Returns whether every node takes just the running nodes for live."""
         running = {node.incarnation for node in self.active()}
         return all(
             node.see_live(self.clock(node)) == running for node in self.active()
--- a/test/decisions/membership/test_membership.py
+++ b/test/decisions/membership/test_membership.py
@@ -13,7 +13,7 @@
     Not,
 )
 
-from chervilrock.decisions.membership.rosters import RosterBook
+from chervilrock.decisions.membership.rosters import RosterCache
 from chervilrock.generated.interfaces import (
     NodePhase,
     NodeUse,
@@ -91,7 +91,7 @@
     frozen.paused = True
     world.run(seconds)
     frozen.paused = False
-    frozen.lag = seconds
+    frozen.lag_s = seconds
     world.run(SETTLE_S)
     assert_that(world.agree(), Equals(True))
 
@@ -105,7 +105,7 @@
     world.run(30.0)
     for node in frozen:
         node.paused = False
-        node.lag = 30.0
+        node.lag_s = 30.0
     world.run(SETTLE_S)
     assert_that(world.agree(), Equals(True))
 
@@ -151,9 +151,9 @@
 def test_parts_of_a_data_centre_find_each_other(seconds: float) -> None:
     world = make_world({"d1": 6, "d2": 2})
     world.run(SETTLE_S)
-    world.apart = {"d1n0", "d1n1", "d1n2"}
+    world.isolated = {"d1n0", "d1n1", "d1n2"}
     world.run(seconds)
-    world.apart = set()
+    world.isolated = set()
     world.run(20.0)
     assert_that(world.agree(), Equals(True))
 
@@ -347,15 +347,18 @@
 
 
 def test_rosters_are_sent_as_differences() -> None:
-    book, reader = RosterBook(data_centre="d1"), RosterBook(data_centre="d1")
+    roster_cache, reader = (
+        RosterCache(data_centre="d1"),
+        RosterCache(data_centre="d1"),
+    )
     first = {name: make_node(name) for name in "abc"}
     second = {name: make_node(name) for name in "bcd"}
     second["b"] = make_node("b", phase=NodePhase.LEAVING)
     for members in (first, second):
-        book.keep(members)
+        roster_cache.keep(members)
     reader.keep(first)
-    base = book.make(first, "").members
-    roster = book.make(second, base)
+    base = roster_cache.make(first, "").members
+    roster = roster_cache.make(second, base)
     added = [peer.incarnation for peer in roster.added]
     assert_that(added, MatchesSetwise(Equals("b"), Equals("d")))
     assert_that(list(roster.removed), Equals(["a"]))
@@ -364,10 +367,10 @@
 
 
 def test_a_roster_with_a_wrong_hash_is_ignored() -> None:
-    book = RosterBook(data_centre="d1")
-    roster = book.make({"a": make_node("a")}, "")
-    book.read(roster._replace(members="0"))
-    assert_that("0" in book, Equals(False))
+    roster_cache = RosterCache(data_centre="d1")
+    roster = roster_cache.make({"a": make_node("a")}, "")
+    roster_cache.read(roster._replace(members="0"))
+    assert_that("0" in roster_cache, Equals(False))
 
 
 def test_an_unknown_data_centre_has_no_roster(world: World) -> None:
