--- a/chervilrock/decisions/membership/contact.py
+++ b/chervilrock/decisions/membership/contact.py
@@ -35,7 +35,7 @@
         self._agreed_at = now
 
     def is_stable(self, now: float, stable_after_s: float) -> bool:
-        """Return whether contact is old enough or a neighbour agrees.
+        """Return whether contact has lasted long enough or a neighbour agrees.
 
         Args:
           now: present time
--- a/chervilrock/decisions/membership/remote.py
+++ b/chervilrock/decisions/membership/remote.py
@@ -57,7 +57,7 @@
 
     @property
     def entries(self) -> Iterable[PeerNode]:
-        """The members without load and with the revisions of the roster."""
+        """The members of the last roster, with outdated load and revision."""
         return self._members.values()
 
     @property
--- a/chervilrock/decisions/membership/remotes.py
+++ b/chervilrock/decisions/membership/remotes.py
@@ -115,7 +115,7 @@
         ]
 
     def entries(self) -> list[PeerNode]:
-        """Return all members, without their load and revision."""
+        """Return all members, with outdated load and revision."""
         return [
             peer for remote in self._remotes.values() for peer in remote.entries
         ]
--- a/test/decisions/membership/peer_nodes.py
+++ b/test/decisions/membership/peer_nodes.py
@@ -1,4 +1,4 @@
-"""Entries of nodes for tests."""
+"""Membership entries of nodes for tests."""
 
 from chervilrock.generated.interfaces import NodePhase, PeerNode
 
--- a/test/decisions/membership/peer_world.py
+++ b/test/decisions/membership/peer_world.py
@@ -1,4 +1,4 @@
-"""Nodes that exchange digests under fake time, without a network."""
+"""Simulated nodes that exchange digests under fake time, without a network."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 def make_stored(revision: int) -> StoredRecord:
-    """Returns a record that stands for a configuration."""
+    """Returns a record of a configuration with an empty body."""
     return StoredRecord(
         offset=revision,
         record=Record(
@@ -34,7 +34,7 @@
 
 
 class Shelf(ConfigurationShelf):
-    """A shelf that remembers what it was given."""
+    """A configuration that records the revisions it was asked to adopt."""
 
     def __init__(self, *, follows: bool = False) -> None:
         self.given: list[int] = []
@@ -58,7 +58,7 @@
 
 
 class Shares:
-    """A share book that remembers which members it was told of."""
+    """A share tracker that records the uses and members it receives."""
 
     def __init__(self) -> None:
         self.uses: tuple[NodeUse, ...] = ()
@@ -76,11 +76,11 @@
 
 
 class SimNode:
-    """One node.
+    """A simulated node.
 
     Attributes:
-      paused: whether it does nothing
-      lag: how far its clock is behind that of the world, in seconds
+      paused: whether the node is paused
+      lag_s: how far its clock is behind that of the world, in seconds
     """
 
     def __init__(
@@ -130,19 +130,19 @@
         )
 
     def see_live(self, now: float) -> set[str]:
-        """Returns the incarnations that this node takes for live."""
+        """Returns the incarnations that this node considers live."""
         return {peer.incarnation for peer in self.table.live(now)}
 
 
 class World:
-    """Nodes that reach each other unless cut off from each other.
+    """Nodes that reach each other unless they are partitioned.
 
     Attributes:
       now: present time in seconds
       nodes: running nodes by address, paused ones too
-      sides: sides of a partition by data centre, empty for no partition
-      apart: names of nodes that cannot reach the others
-      carried: the digests of the last exchanges
+      sides: side of a partition by data centre, empty for no partition
+      isolated: names of nodes that cannot reach the others
+      carried: the digests of the last exchanges, in order
     """
 
     def __init__(self) -> None:
@@ -160,14 +160,14 @@
         del self.nodes[node.address]
 
     def clock(self, node: SimNode) -> float:
-        """Returns the time that a node reads."""
+        """Returns the present time by the clock of a node."""
         return self.now - node.lag_s
 
     def active(self) -> list[SimNode]:
         return [node for node in self.nodes.values() if not node.paused]
 
     def run(self, seconds: float) -> None:
-        """Lets all nodes exchange for a time."""
+        """Runs the exchanges of all nodes for a time."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + STEP_S)
@@ -178,7 +178,7 @@
                 self.run_immediate(node)
 
     def run_immediate(self, node: SimNode) -> None:
-        """Lets a node tell its urgent news."""
+        """Runs the immediate exchanges of a node."""
         for _ in range(12):
             if not node.exchange.wants_prompt():
                 return
@@ -189,7 +189,7 @@
             self.carry(node, message)
 
     def carry(self, node: SimNode, message: Message) -> None:
-        """Carries an exchange with its follow-ups, over the codec."""
+        """Delivers a message and its follow-ups, encoded and decoded."""
         following: Message | None = message
         while following is not None:
             target = self.nodes.get(following.address)
@@ -217,7 +217,7 @@
         return self.sides[places[0]] != self.sides[places[1]]
 
     def agree(self) -> bool:
-        """Returns whether every node takes just the running nodes for live."""
+        """Returns whether all nodes consider just the running nodes live."""
         running = {node.incarnation for node in self.active()}
         return all(
             node.see_live(self.clock(node)) == running for node in self.active()
@@ -229,7 +229,7 @@
 
 
 def make_world(layout: dict[str, int], seeds: int = 2) -> World:
-    """Returns a world; `layout` has the number of nodes by data centre."""
+    """Returns a world; `layout` is the number of nodes by data centre."""
     world = World()
     names = [
         (f"{data_centre}n{number}", data_centre)
--- a/test/decisions/membership/test_addresses.py
+++ b/test/decisions/membership/test_addresses.py
@@ -1,4 +1,4 @@
-"""Tests of the address answers: spread, spill-over, bounds."""
+"""Tests of address answers: spread over nodes, spill-over, bounds."""
 
 from collections import Counter
 import random
@@ -42,7 +42,7 @@
 
 
 def count_first(live: list[PeerNode]) -> Counter[str]:
-    """Returns how often each address comes first, over many callers."""
+    """Returns how often each address is first, over many callers."""
     return Counter(
         ask(live, seed)["addresses"][0]["address"] for seed in range(CALLERS)
     )
@@ -62,7 +62,7 @@
     ]
 
 
-def test_callers_that_take_the_first_address_spread(
+def test_callers_that_use_the_first_address_are_spread(
     target: list[PeerNode],
 ) -> None:
     near = {peer.address for peer in target if peer.data_centre == "d1"}
@@ -114,7 +114,7 @@
     assert_that(len(far), GreaterThan(1))
 
 
-def test_nodes_that_only_stand_by_have_no_weight() -> None:
+def test_fallback_nodes_have_weight_zero() -> None:
     far = make_node("b", data_centre="d2")
     entries = ask([make_node("a", load=0.25), far])["addresses"]
     weights = {entry["address"]: entry["weight"] for entry in entries}
@@ -129,7 +129,7 @@
     )
 
 
-def test_a_node_that_knows_nobody_names_itself() -> None:
+def test_a_node_without_live_peers_answers_itself() -> None:
     entries = ask([OWN])["addresses"]
     assert_that([entry["address"] for entry in entries], Equals([OWN.address]))
 
--- a/test/decisions/membership/test_membership.py
+++ b/test/decisions/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the table of nodes and of the exchange, under fake time."""
+"""Tests of the membership table and of the exchange, under fake time."""
 
 import msgspec
 import pytest
@@ -35,14 +35,14 @@
 
 @pytest.fixture
 def world() -> World:
-    """Two data centres of three nodes and one of a single node."""
+    """Returns two data centres of three nodes and one of a single node."""
     made = make_world({"d1": 3, "d2": 3, "d3": 1})
     made.run(SETTLE_S)
     return made
 
 
 def find_phases(world: World, incarnation: str) -> set[NodePhase]:
-    """Returns the phases in which nodes see a node."""
+    """Returns the phases of a node in the tables of all nodes."""
     found = set()
     for node in world.active():
         peer = node.table.find(incarnation, world.now)
@@ -55,14 +55,14 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_dead_node_is_noticed(world: World) -> None:
+def test_a_dead_node_is_detected(world: World) -> None:
     for address in ("d1n1:1", "d3n0:1"):
         world.remove(world.nodes[address])
     world.run(DEAD_S)
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_restarted_node_is_a_new_one(world: World) -> None:
+def test_a_restarted_node_is_a_new_entry(world: World) -> None:
     old = world.nodes["d2n0:1"]
     world.remove(old)
     world.add(SimNode("d2n0", data_centre="d2", start=2, seeds=("d1n0:1",)))
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("seconds", [5.0, 30.0, 150.0])
-def test_a_paused_node_comes_back(world: World, seconds: float) -> None:
+def test_a_paused_node_recovers(world: World, seconds: float) -> None:
     paused = world.nodes["d1n1:1"]
     paused.paused = True
     world.run(seconds)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("seconds", [5.0, 150.0])
-def test_a_node_whose_clock_stood_still_comes_back(
+def test_a_node_whose_clock_stood_still_recovers(
     world: World, seconds: float
 ) -> None:
     frozen = world.nodes["d1n1:1"]
@@ -96,7 +96,7 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_data_centre_whose_clocks_stood_still_comes_back(
+def test_a_data_centre_whose_clocks_stood_still_recovers(
     world: World,
 ) -> None:
     frozen = [world.nodes[f"d2n{number}:1"] for number in range(3)]
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seconds", [1.0, 20.0, 150.0])
-def test_a_data_centre_that_starts_anew_comes_back(
+def test_a_restarted_data_centre_is_found_again(
     world: World, seconds: float
 ) -> None:
     for number in range(3):
@@ -124,7 +124,7 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_new_node_is_not_told_of_dead_neighbours(world: World) -> None:
+def test_a_new_node_does_not_list_dead_neighbours(world: World) -> None:
     for number in range(3):
         world.remove(world.nodes[f"d2n{number}:1"])
     world.run(40.0)
@@ -136,7 +136,7 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_paused_node_is_back_soon_in_a_large_data_centre() -> None:
+def test_a_paused_node_recovers_fast_in_a_large_data_centre() -> None:
     world = make_world({"d1": 8, "d2": 2, "d3": 2})
     world.run(SETTLE_S)
     paused = world.nodes["d1n5:1"]
@@ -158,7 +158,7 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_paused_node_brings_no_dead_node_back(world: World) -> None:
+def test_a_paused_node_does_not_revive_a_dead_node(world: World) -> None:
     paused, dead = world.nodes["d1n1:1"], world.nodes["d1n2:1"]
     paused.paused = True
     world.remove(dead)
@@ -170,7 +170,7 @@
             assert_that(node.see_live(world.now), Not(Contains("d1n2.1")))
 
 
-def test_a_paused_node_does_not_speak_for_its_data_centre(
+def test_a_paused_node_does_not_report_for_its_data_centre(
     world: World,
 ) -> None:
     paused = world.nodes["d1n1:1"]
@@ -184,7 +184,7 @@
         assert_that(seen, Contains("d1n2.1"))
 
 
-def test_a_delayed_digest_is_no_news(world: World) -> None:
+def test_a_delayed_digest_does_not_revive_a_dead_node(world: World) -> None:
     dead = world.nodes["d1n2:1"]
     late = [digest for digest in world.carried if "heartbeats" in digest][-12:]
     world.remove(dead)
@@ -195,7 +195,9 @@
     assert_that(target.see_live(world.now), Not(Contains("d1n2.1")))
 
 
-def test_a_node_reads_no_news_right_after_a_pause(world: World) -> None:
+def test_a_node_ignores_queued_digests_right_after_a_pause(
+    world: World,
+) -> None:
     target = world.nodes["d3n0:1"]
     late = [
         digest
@@ -211,7 +213,7 @@
     assert_that(target.see_live(world.now), Not(Contains("d1n0.1")))
 
 
-def test_halves_find_each_other(world: World) -> None:
+def test_sides_of_a_partition_find_each_other(world: World) -> None:
     world.sides = {"d1": 1, "d2": 2, "d3": 2}
     world.run(DEAD_S)
     seen = world.nodes["d1n0:1"].see_live(world.now)
@@ -235,7 +237,7 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_leaving_is_known_at_once(world: World) -> None:
+def test_a_leaving_node_is_announced_immediately(world: World) -> None:
     leaving = world.nodes["d2n1:1"]
     leaving.update(NodePhase.LEAVING)
     for message in leaving.exchange.announce(world.now):
@@ -255,7 +257,7 @@
     assert_that(world.agree(), Equals(True))
 
 
-def test_a_phase_never_goes_back(world: World) -> None:
+def test_a_phase_never_decreases(world: World) -> None:
     leaving = world.nodes["d1n2:1"]
     late = [
         digest
@@ -271,7 +273,9 @@
     assert_that(phases, Equals({NodePhase.LEAVING}))
 
 
-def test_a_configuration_reaches_all_and_travels_once(world: World) -> None:
+def test_a_configuration_reaches_all_nodes_and_is_sent_once(
+    world: World,
+) -> None:
     world.nodes["d1n0:1"].shelf.adopt(make_stored(1), world.now)
     world.run(3.0)
     for node in world.active():
@@ -282,7 +286,7 @@
     assert_that(revisions, Equals({1}))
 
 
-def test_an_older_configuration_is_not_brought_back(world: World) -> None:
+def test_an_older_configuration_is_not_adopted(world: World) -> None:
     for revision in (1, 2):
         world.nodes["d1n0:1"].shelf.adopt(make_stored(revision), world.now)
         world.run(3.0)
@@ -295,7 +299,7 @@
         assert_that(node.shelf.revision, Equals(2))
 
 
-def test_a_node_that_follows_the_log_leaves_it_a_while(world: World) -> None:
+def test_a_node_that_follows_the_log_waits_for_it_first(world: World) -> None:
     node = world.nodes["d2n0:1"]
     node.shelf.follows = True
     world.nodes["d2n1:1"].shelf.adopt(make_stored(1), world.now)
@@ -305,7 +309,7 @@
     assert_that(node.shelf.given, Equals([1]))
 
 
-def test_members_travel_only_when_they_changed(world: World) -> None:
+def test_members_are_sent_only_when_they_changed(world: World) -> None:
     world.run(20.0)
     world.carried.clear()
     world.run(20.0)
@@ -314,7 +318,7 @@
     assert_that(max(sizes), LessThan(600))
 
 
-def test_shares_are_handed_on_newest_first(world: World) -> None:
+def test_shares_are_forwarded_newest_first(world: World) -> None:
     node, other = world.nodes["d1n0:1"], world.nodes["d1n1:1"]
     uses = (WorkspaceUse("w", 1, 0, 1),)
     node.shares.uses = tuple(
@@ -325,7 +329,7 @@
     assert_that(ages, Equals(list(range(1, 17))))
 
 
-def test_all_names_are_told_to_the_limits(world: World) -> None:
+def test_the_share_tracker_receives_all_node_names(world: World) -> None:
     names = {node.name for node in world.nodes.values()}
     world.remove(world.nodes["d1n1:1"])
     world.run(DEAD_S)
@@ -335,7 +339,7 @@
     assert_that(node.shares.members, Equals(names - {"d1n1"}))
 
 
-def test_own_heartbeat_stays_ahead_of_what_others_tell(world: World) -> None:
+def test_own_heartbeat_stays_ahead_of_reported_values(world: World) -> None:
     node = world.nodes["d1n0:1"]
     told = node.table.own._replace(heartbeat=10**9)
     node.table.note_exchange(told, world.now)
--- a/test/decisions/membership/test_membership_machine.py
+++ b/test/decisions/membership/test_membership_machine.py
@@ -1,7 +1,7 @@
-"""A state machine that drives nodes through faults, against an oracle.
+"""Stateful test of membership under faults, compared with a model.
 
-The oracle knows which nodes run, how long ago others died, the last phase
-that each announced and the configurations that were applied.
+The model records which nodes run, when others died, the last phase that each
+node announced and the configurations that were applied.
 """
 
 from hypothesis import settings
@@ -25,7 +25,7 @@
 
 LAYOUT = {"d1": 3, "d2": 2, "d3": 1}
 RESTING_S = 25.0
-"""Time within which news of a death and of all else reaches every node."""
+"""Time within which a death and any other update reaches every node."""
 
 MAX_CARRIED = 200
 PLACES = sorted(LAYOUT)
