--- a/chervilrock/decisions/__init__.py
+++ b/chervilrock/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: no sockets, no clock, no hidden randomness."""
+"""Pure decision logic: no I/O, no clock, no hidden randomness."""
--- a/chervilrock/decisions/actions.py
+++ b/chervilrock/decisions/actions.py
@@ -1,8 +1,8 @@
 """Messages between the planner and the controller.
 
-The controller shows the planner the hosts, the groups and the wanted models
-as a `PlanInput`. The planner answers with actions; the controller turns each
-action into log records and engine orders.
+The controller passes the hosts, the groups and the wanted models to the
+planner as a `PlanInput`. The planner returns actions; the controller turns
+each action into log records and engine orders.
 """
 
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class FormGroup(NamedTuple):
-    """Give free hosts to a new replica group.
+    """Form a new replica group from free hosts.
 
     Attributes:
       model: name of the model
@@ -35,7 +35,7 @@
 
     Attributes:
       group: name of the group
-      fence: fencing number on which this was decided
+      fence: fencing number in force at the decision
       hosts: all hosts by rank after the repair
       domain: fabric domain, empty when the group spans several
     """
@@ -51,7 +51,7 @@
 
     Attributes:
       group: name of the group
-      fence: fencing number on which this was decided
+      fence: fencing number in force at the decision
       reason: short text for the log event
     """
 
@@ -64,21 +64,21 @@
 
 
 class HostView(NamedTuple):
-    """What the planner sees of a host.
+    """A host, as passed to the planner.
 
     Attributes:
       host: name of the host
       data_centre: data centre of the host
       domain: fabric domain of the host
       accelerators: number of accelerators
-      checks_fence: whether its engine refuses old fencing numbers
+      checks_fence: whether its engine rejects old fencing numbers
       present: whether evidence within the age limit proves it present
-      leaving: whether the host list says that it is leaving
-      free: whether a group may get it: no group owns it, or it is only a
-        spare for a log outage, and it is not quarantined
-      loaded: shard that its engine still caches, None for nothing
-      releasing: whether its group gave it up and it will be free once it is
-        proved empty; it is not quarantined
+      leaving: whether the host list marks it as leaving
+      free: whether it can be assigned to a group: it is not quarantined, and
+        no group owns it or it is only a spare for a log outage
+      loaded: shard that its engine still caches, None if there is none
+      releasing: whether its group has released it and it becomes free once it
+        is proved empty; it is not quarantined
     """
 
     host: str
@@ -94,21 +94,21 @@
 
 
 class GroupView(NamedTuple):
-    """What the planner sees of a group.
+    """A group, as passed to the planner.
 
     Attributes:
       name: name of the group
       model: name of the model
-      version: version that the group holds
-      adapters: adapters that the group holds
+      version: version that the group has loaded
+      adapters: adapters that the group has loaded
       hosts: hosts by rank
       domain: fabric domain, empty when the group spans several
       fence: fencing number in force
       phase: phase in the folded log
-      missing: hosts that are not proved present
+      missing: hosts without recent evidence of presence
       missing_since: time at which the first of them went missing, in seconds
-        of the clock of `now`; None when none is missing
-      spares: hosts that it holds for a repair while the log is out
+        on the clock of `now`; None if none is missing
+      spares: hosts reserved for a repair while the log is unavailable
     """
 
     name: str
@@ -125,11 +125,11 @@
 
 
 class Prices(NamedTuple):
-    """Costs that hold now, out of the configured objective.
+    """Current costs from the configured objective.
 
     Attributes:
-      downtime: cost of a group that is down for a second, times its hosts
-      stranded: cost of a stranded accelerator for a second
+      downtime: cost of one second of downtime of a group, for each host of it
+      stranded: cost of one stranded accelerator for one second
     """
 
     downtime: float = 1.0
@@ -137,12 +137,12 @@
 
 
 class PlanInput(NamedTuple):
-    """Everything that the planner needs.
+    """Input of the planner.
 
     Attributes:
       models: wanted models
-      prices: costs that hold now
-      hosts: every host of the region that is on the list
+      prices: current costs
+      hosts: every host of the region on the host list
       groups: every group of the region that is not dissolved
     """
 
--- a/chervilrock/decisions/configurations.py
+++ b/chervilrock/decisions/configurations.py
@@ -1,9 +1,10 @@
 """The fold of the stream `config`.
 
-The revision of a configuration is the offset of its record. A record that
-names another base revision than the one in force is rejected, and its writer
-is told who was first. A configuration that a peer hands on is a record that
-was already accepted, so it is valid by its offset.
+The revision of a configuration is the offset of its record. A record whose
+base revision is not the one in force is rejected, and its writer gets the
+configuration that was accepted before it. A configuration that a peer
+forwards is a record that was already accepted, so its offset alone decides
+whether it applies.
 """
 
 from typing import NamedTuple
@@ -32,7 +33,7 @@
       operator: who applied it
       digest: hash of the document, in hexadecimal
       document: the configuration
-      stored: the record, to be handed on to peers
+      stored: the record, to be forwarded to peers
     """
 
     revision: int
@@ -55,11 +56,11 @@
 
 
 class ConfigurationVerdict(NamedTuple):
-    """Judgement on a record of the stream.
+    """Result of applying a record of the stream.
 
     Attributes:
-      verdict: what the fold did
-      winner: who was first, for a configuration with a stale base
+      verdict: verdict of the fold
+      winner: the configuration that was accepted first, if the base is stale
     """
 
     verdict: Verdict
@@ -67,11 +68,12 @@
 
 
 class ConfigurationImage(NamedTuple):
-    """The folded state as a snapshot carries it.
+    """The folded state as stored in a snapshot.
 
     Attributes:
-      upto: offset of the last record that the state contains
+      upto: offset of the last record included in the state
       accepted: record of the last accepted configuration
+      seen: highest sequence number of each writer
     """
 
     upto: int
@@ -82,17 +84,17 @@
 class ConfigurationFold:
     """Folded state of the stream `config`.
 
-    What was read from the log and what a peer handed on are kept apart: a
-    record of the log is always judged against the records before it, also
-    when a peer has already told of a later one. The greater revision of the
-    two is in force.
+    The configuration from the log and the one that a peer forwarded are kept
+    apart: a record of the log is always checked against the records before
+    it, even if a peer has already forwarded a later one. The higher revision
+    of the two is in force.
 
     Attributes:
       upto: offset of the last record applied
     """
 
     def __init__(self) -> None:
-        """Start with the state of an empty stream."""
+        """Create the state of an empty stream."""
         self.upto = 0
         self._folded: AcceptedConfiguration | None = None
         self._adopted: AcceptedConfiguration | None = None
@@ -100,25 +102,27 @@
 
     @property
     def in_force(self) -> AcceptedConfiguration | None:
-        """The accepted configuration with the greatest revision known."""
+        """The accepted configuration with the highest revision."""
         if self._adopted is None:
             return self._folded
         if self._folded is None:
             return self._adopted
-        return max(self._folded, self._adopted, key=lambda one: one.revision)
+        return max(
+            self._folded, self._adopted, key=lambda accepted: accepted.revision
+        )
 
     @property
     def revision(self) -> int:
-        """Revision in force, 0 for none."""
+        """Revision in force, 0 if there is none."""
         accepted = self.in_force
         return 0 if accepted is None else accepted.revision
 
     def apply(self, stored: StoredRecord) -> Verdict:
-        """Apply the next record and say what came of it."""
+        """Apply the next record and return the verdict."""
         return self.judge(stored).verdict
 
     def judge(self, stored: StoredRecord) -> ConfigurationVerdict:
-        """Apply the next record; say also who was first, to a loser."""
+        """Apply the next record and return the verdict and any winner."""
         offset = stored.offset
         if offset <= self.upto:
             return _answer(VerdictKind.SKIPPED, offset)
@@ -139,11 +143,11 @@
         return self._judge_base(stored, body)
 
     def adopt(self, stored: StoredRecord) -> bool:
-        """Take over an accepted record from a peer.
+        """Adopt an accepted record from a peer.
 
         Returns:
-          Whether it is now in force; a revision that is not greater than the
-          one in force changes nothing.
+          Whether it is now in force; a revision that is not higher than the
+          one in force is ignored.
         """
         accepted = read_accepted(stored)
         if accepted is None or accepted.revision <= self.revision:
@@ -152,13 +156,13 @@
         return True
 
     def resume(self, first_offset: int) -> bool:
-        """Go on from the adopted record when the log before it is gone.
+        """Resume from the adopted record if the log before it was trimmed.
 
-        An accepted record tells all that the state at its offset contains,
-        but for the doubles, which a stale base rejects as well.
+        An accepted record holds the whole state at its offset except for the
+        seen records; duplicates of those are rejected by their stale base.
 
         Args:
-          first_offset: least offset that the log still keeps.
+          first_offset: lowest offset that the log still stores.
 
         Returns:
           Whether the records from `upto` + 1 on can be read without a gap.
@@ -173,7 +177,7 @@
         return True
 
     def inherit(self, other: "ConfigurationFold") -> None:
-        """Keep what another fold of the same stream has in force."""
+        """Adopt the configuration in force in another fold of the stream."""
         accepted = other.in_force
         if accepted is not None:
             self.adopt(accepted.stored)
@@ -192,7 +196,7 @@
         """Return the state that `export` wrote.
 
         Raises:
-          msgspec.DecodeError: the text is no such state.
+          msgspec.DecodeError: the text is not a valid state.
         """
         image = msgspec.json.decode(text, type=ConfigurationImage)
         fold = cls()
@@ -202,7 +206,9 @@
             return fold
         fold._folded = read_accepted(image.accepted)
         if fold._folded is None:
-            raise msgspec.ValidationError("no configuration in the snapshot")
+            raise msgspec.ValidationError(
+                "snapshot record holds no configuration"
+            )
         return fold
 
     def _judge_base(
@@ -229,7 +235,7 @@
 
 
 def read_accepted(stored: StoredRecord) -> AcceptedConfiguration | None:
-    """Return the typed configuration of a record, None when it has none."""
+    """Return the typed configuration of a record, None if it has none."""
     body = decode_body(stored.record)
     if not isinstance(body, ConfigurationApplied):
         return None
--- a/chervilrock/decisions/controller.py
+++ b/chervilrock/decisions/controller.py
@@ -1,10 +1,10 @@
 """The decisions of the controller of a region.
 
-`decide` is called whenever something has changed and once in a while. It
-compares the folded log with the evidence of the hosts and returns what to
-append and what to order. It changes nothing in the region, and asking for the
-same twice is harmless: a record that comes a second time is rejected by the
-fold, and an order that comes a second time is the same order.
+`decide` is called after each change and periodically. It compares the folded
+log with the evidence of the hosts and returns the records to append and the
+orders to send. It does not modify the region, and its effects are idempotent:
+the fold rejects a record that is appended twice, and an order that is sent
+twice is the same order.
 """
 
 from collections.abc import Iterable, Iterator
@@ -64,18 +64,18 @@
       wanted: configuration in force.
       revision: its revision.
       presence: evidence of the hosts.
-      hosts: host list, of this region.
-      actions: what the planner asks for.
-      pending: records and orders under way; the caller notes there what it
+      hosts: host list of this region.
+      actions: actions of the planner.
+      pending: records and orders in flight; the caller records there what it
         does with the effects.
-      lease: the lease of the region as this process knows it.
-      now: present time in seconds.
-      idle: names of draining groups whose engines have no request left.
-      whole: groups that are known to be whole now, which saves finding out.
+      lease: the lease of the region from the point of view of this process.
+      now: current time in seconds.
+      idle: names of draining groups whose engines have no requests left.
+      whole: groups that are known to be whole, which need no check.
       timing: waiting times.
 
     Returns:
-      Nothing at all unless this process holds the lease now.
+      Nothing unless this process holds the lease.
     """
     if not lease.may_act(now) or lease.holder.epoch != region.epoch:
         return ()
@@ -108,7 +108,7 @@
     yield from clear_hosts(context)
     yield from empty_strays(context)
     for effect in perform_actions(context):
-        if not _drains_second(context, effect, drained):
+        if not _is_second_drain(context, effect, drained):
             yield effect
     yield from grant_spares(context)
 
@@ -127,15 +127,15 @@
         yield from drain_group(context, group)
 
 
-def _drains_second(
+def _is_second_drain(
     context: ControlContext, effect: Effect, drained: set[str]
 ) -> bool:
     """Return whether a model would lose a second group in this decision.
 
     Args:
       context: state and input of the decision.
-      effect: what an action asks for.
-      drained: models that lose a group already; the model is added.
+      effect: effect of an action.
+      drained: models that lose a group already; this model is added.
     """
     body = effect.body if isinstance(effect, AppendRecord) else None
     if not isinstance(body, GroupPhaseChanged):
--- a/chervilrock/decisions/evidence.py
+++ b/chervilrock/decisions/evidence.py
@@ -1,7 +1,7 @@
-"""What an engine said when it was probed, kept in little memory.
+"""Probe results of engines, stored compactly.
 
-The shards of a group differ in their ranks alone, so its hosts share one
-value for everything else.
+The shards of a group differ only in their ranks, so its hosts share one
+value for all other fields.
 """
 
 from collections.abc import Iterable
@@ -19,17 +19,17 @@
 
 
 class Evidence(NamedTuple):
-    """What an engine said when it was last probed.
+    """State of an engine at the last probe.
 
     Attributes:
       sent_at: when the probe was sent, in seconds
-      incarnation: changes when the engine restarts
-      phase: what the engine does
-      fence: greatest fencing number that the engine has seen
-      checks_fence: whether it refuses old fencing numbers
-      own_shard: what it holds or loads but for the rank, None for nothing;
-        shared with the other hosts of its group
-      rank: rank of what it holds or loads
+      incarnation: identifier that changes when the engine restarts
+      phase: phase of the engine
+      fence: highest fencing number that the engine has seen
+      checks_fence: whether it rejects old fencing numbers
+      common_shard: shard that is loaded or loading, without the rank; None if
+        there is none; shared with the other hosts of its group
+      rank: rank of that shard
     """
 
     sent_at: float
@@ -42,19 +42,19 @@
 
     @property
     def shard(self) -> EngineShard | None:
-        """What the engine holds or loads, None for nothing."""
+        """Shard that is loaded or loading, None if there is none."""
         if self.own_shard is None:
             return None
         return EngineShard(**{**self.own_shard, "rank": self.rank})
 
     def holds_rank(self, group: Group, rank: int) -> bool:
-        """Return whether the engine holds this rank of a group."""
+        """Return whether the engine has this rank of a group."""
         return self.rank == rank and holds_rank(
             self.own_shard, group, _ANY_RANK
         )
 
     def agrees_with(self, state: EngineState) -> bool:
-        """Return whether an engine says the same again."""
+        """Return whether a newer state of the engine is the same."""
         return (
             self.incarnation == state["incarnation"]
             and self.phase == state["phase"]
@@ -79,8 +79,8 @@
         )
 
 
-class _Key(NamedTuple):
-    """What the shards of a group share."""
+class _SharedFields(NamedTuple):
+    """Fields that the shards of a group have in common."""
 
     group: str
     fence: int
@@ -92,15 +92,15 @@
 
 
 class ShardPool:
-    """One value for all shards that differ in their ranks alone."""
+    """Pool with one value for all shards that differ only in rank."""
 
     def __init__(self) -> None:
-        """Start without shards."""
-        self._shards: dict[_Key, EngineShard] = {}
+        """Create an empty pool."""
+        self._shards: dict[_SharedFields, EngineShard] = {}
 
     def share(self, shard: EngineShard) -> EngineShard:
-        """Return the value for a shard, without its rank."""
-        key = _find_key(shard)
+        """Return the shared value of a shard, without its rank."""
+        key = _make_key(shard)
         known = self._shards.get(key)
         if known is None:
             known = EngineShard(**{**shard, "rank": _ANY_RANK})
@@ -108,21 +108,21 @@
         return known
 
     def retain(self, shards: Iterable[EngineShard | None]) -> None:
-        """Forget all values but these."""
+        """Drop all values except these."""
         self._shards = {
-            _find_key(shard): shard for shard in shards if shard is not None
+            _make_key(shard): shard for shard in shards if shard is not None
         }
 
 
 def make_evidence(
     state: EngineState, sent_at: float, pool: ShardPool
 ) -> Evidence:
-    """Return the evidence of an answer to a probe.
+    """Return the evidence from the response to a probe.
 
     Args:
-      state: what the engine answered.
+      state: state that the engine reported.
       sent_at: when the probe was sent, in seconds.
-      pool: shards of all hosts.
+      pool: shared shards of all hosts.
     """
     shard = state.get("shard")
     return Evidence(
@@ -136,8 +136,8 @@
     )
 
 
-def _find_key(shard: EngineShard) -> _Key:
-    return _Key(
+def _make_key(shard: EngineShard) -> _SharedFields:
+    return _SharedFields(
         shard["group"],
         shard["fence"],
         shard["model"],
--- a/chervilrock/decisions/finishing.py
+++ b/chervilrock/decisions/finishing.py
@@ -1,4 +1,4 @@
-"""Groups that get nothing new and finish what they have."""
+"""Groups that get no new requests and complete the ones they have."""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -11,17 +11,17 @@
 from chervilrock.generated.records import GroupPhase
 
 REFRESH_SHARE = 0.5
-"""Share of the age limit that has to be left of an end of validity, or it is
-found anew. It is too early until then, never too late."""
+"""Share of the age limit below which the remaining time to an expiry triggers
+a refresh. Until then the expiry time may be too early, never too late."""
 
 
 class FinishingGroup(NamedTuple):
-    """A group that is whole and works on what it was sent before.
+    """A whole group that completes requests that it got earlier.
 
     Attributes:
       group: name of the group
-      fence: fencing number under which its hosts hold it
-      until: end of the age limit of its oldest evidence, in seconds
+      fence: fencing number under which its hosts have loaded it
+      until: expiry time of its oldest evidence, in seconds
     """
 
     group: str
@@ -32,12 +32,12 @@
 class FinishingTable:
     """The groups that drain or have a leaving host, as long as they are whole.
 
-    They are few, so each is judged at each update; which groups they are is
-    found anew when the region or the host list has changed.
+    There are few of them, so each is checked at each update. The list of
+    candidates is rebuilt when the region or the host list has changed.
     """
 
     def __init__(self, *, presence: PresenceTable) -> None:
-        """Start without groups.
+        """Create a table without groups.
 
         Args:
           presence: evidence of the hosts.
@@ -47,7 +47,7 @@
         self._upto = 0
         self._hosts: Mapping[str, HostEntry] = {}
         self._candidates: tuple[Group, ...] = ()
-        self._known: dict[str, FinishingGroup] = {}
+        self._finishing: dict[str, FinishingGroup] = {}
 
     def update(
         self,
@@ -55,46 +55,48 @@
         hosts: Mapping[str, HostEntry],
         now: float,
     ) -> tuple[FinishingGroup, ...]:
-        """Return the groups that may finish what they have.
+        """Return the groups that may complete their requests.
 
         Args:
           region: folded state of the region.
-          hosts: host list by name; another object when it has changed.
-          now: present time in seconds.
+          hosts: host list by name; a new object whenever it has changed.
+          now: current time in seconds.
         """
-        known = (
+        is_current = (
             region is self._region
             and region.upto == self._upto
             and hosts is self._hosts
         )
-        if not known:
+        if not is_current:
             self._region = region
             self._upto = region.upto
             self._hosts = hosts
             self._candidates = tuple(_list_candidates(region, hosts))
-        self._known = {one.group: one for one in self._judge(now)}
-        return tuple(self._known.values())
+        self._finishing = {
+            group.group: group for group in self._list_finishing(now)
+        }
+        return tuple(self._finishing.values())
 
-    def _judge(self, now: float) -> Iterator[FinishingGroup]:
+    def _list_finishing(self, now: float) -> Iterator[FinishingGroup]:
         for candidate in self._candidates:
             group = self._find_whole(candidate, now)
             if group is not None:
-                until = self._find_end(group, now)
+                until = self._find_expiry(group, now)
                 yield FinishingGroup(group.name, group.fence, until)
 
     def _find_whole(self, group: Group, now: float) -> Group | None:
-        """Return the group with the hosts that it has now, if it is whole."""
+        """Return the group with its actual hosts, None if it is not whole."""
         if group.phase is GroupPhase.SERVING:
             return self._presence.find_servable(group, now)
         return group if self._presence.whole(group, now) else None
 
-    def _find_end(self, group: Group, now: float) -> float:
-        known = self._known.get(group.name)
-        if known is None or known.fence != group.fence:
+    def _find_expiry(self, group: Group, now: float) -> float:
+        previous = self._finishing.get(group.name)
+        if previous is None or previous.fence != group.fence:
             return self._presence.find_expiry(group.hosts)
-        if known.until < now + self._presence.limit * REFRESH_SHARE:
+        if previous.until < now + self._presence.limit * REFRESH_SHARE:
             return self._presence.find_expiry(group.hosts)
-        return known.until
+        return previous.until
 
 
 def _list_candidates(
--- a/chervilrock/decisions/lease.py
+++ b/chervilrock/decisions/lease.py
@@ -1,10 +1,11 @@
 """Leases without a common clock.
 
-The holder counts its lease from the moment at which it sent the claim or the
-renewal; a taker counts from the moment at which it read that record, plus a
-bound for the drift between two clocks. So a taker never finds a lease over
-before its holder does. Each node has one `LeaseView` of a region, which is
-both: it may hold the lease, and it follows the lease of others.
+The holder measures its lease from the time at which it sent the claim or the
+renewal; an observer measures from the time at which it read that record, and
+adds a bound for the drift between two clocks. So an observer never considers
+a lease expired before its holder does. Each node has one `LeaseView` of a
+region, which does both: it may hold the lease, and it tracks the lease of
+other nodes.
 """
 
 import enum
@@ -21,7 +22,7 @@
 if TYPE_CHECKING:
     import random
 
-_MS = 1000.0
+_MS_PER_S = 1000.0
 _RENEWALS_PER_LEASE = 3
 
 
@@ -30,9 +31,10 @@
 
     Attributes:
       lease_s: length of the lease
-      drift: bound for the rate difference of two clocks
-      order_timeout_s: longest time for which an order may be under way
-      stagger_s: greatest random delay of a claim; ranks stand so far apart
+      drift: upper bound of the relative rate difference of two clocks
+      order_timeout_s: longest time for which an order may be in flight
+      stagger_s: upper bound of the random delay of a claim, and the
+        additional delay for each rank
     """
 
     lease_s: float = 3.0
@@ -42,7 +44,7 @@
 
 
 class LeaseStep(enum.StrEnum):
-    """What a node should do about the lease now."""
+    """Next step of a node with regard to the lease."""
 
     CLAIM = "claim"
     RENEW = "renew"
@@ -52,12 +54,12 @@
 
 
 class LeaseDecision(NamedTuple):
-    """Answer of `LeaseView.decide`.
+    """Result of `LeaseView.decide`.
 
     Attributes:
       step: what to do now
-      until: for act and renew, end of the right to act; for wait, time at
-        which to ask again; in seconds of the clock of `now`
+      until: for act and renew, end of the right to act; for wait, time of
+        the next call; in seconds on the clock of `now`
     """
 
     step: LeaseStep
@@ -65,16 +67,16 @@
 
 
 class LeaseHolder:
-    """The lease as its holder counts it.
+    """The lease as measured by its holder.
 
     Attributes:
-      epoch: epoch that this process holds, 0 for none
+      epoch: epoch that this process holds, 0 if there is none
       until: end of the lease
       sent_at: when the last claim or renewal was sent
     """
 
     def __init__(self, *, lease_s: float) -> None:
-        """Hold nothing."""
+        """Create a holder without a lease."""
         self.epoch = 0
         self.until = 0.0
         self.sent_at = 0.0
@@ -82,22 +84,27 @@
         self._sent: dict[RecordId, float] = {}
 
     def note_sent(self, record_id: RecordId, now: float) -> None:
-        """Note when a claim or a renewal was sent for the first time."""
+        """Record when a claim or a renewal was sent for the first time."""
         if record_id not in self._sent:
             self._sent[record_id] = now
             self.sent_at = now
 
     def is_waiting(self, now: float) -> bool:
-        """Return whether a claim or renewal is not yet read back.
+        """Return whether a claim or renewal has not been read back yet.
 
-        One that was sent longer ago than the lease is worth nothing.
+        One that was sent longer ago than the length of the lease is ignored,
+        as its lease has expired.
         """
         oldest = now - self._lease_s
-        self._sent = {one: at for one, at in self._sent.items() if at > oldest}
+        self._sent = {
+            record_id: sent_at
+            for record_id, sent_at in self._sent.items()
+            if sent_at > oldest
+        }
         return bool(self._sent)
 
     def note_accepted(self, record_id: RecordId, epoch: int) -> None:
-        """Note that the fold accepted a claim or renewal of this process."""
+        """Record that the fold accepted a claim or renewal of this process."""
         sent_at = self._sent.pop(record_id, None)
         if self.epoch != epoch:
             self.epoch = epoch
@@ -106,31 +113,31 @@
             self.until = max(self.until, sent_at + self._lease_s)
 
     def note_rejected(self, record_id: RecordId) -> None:
-        """Note that the fold did not accept a record of this process."""
+        """Record that the fold did not accept a record of this process."""
         self._sent.pop(record_id, None)
 
     def drop(self) -> None:
-        """Give the lease up at once."""
+        """Give up the lease immediately."""
         self.epoch = 0
         self.until = 0.0
 
     def may_act(self, now: float) -> bool:
-        """Return whether orders may be given and records appended now."""
+        """Return whether orders may be sent and records appended now."""
         return self.epoch != 0 and now < self.until
 
 
 class LeaseTaker:
-    """The lease of others, as a node that may take it over counts it.
+    """The lease of another node, as measured by a node that may claim it.
 
     Attributes:
-      epoch: epoch in force, 0 for none
-      over_at: time from which that lease is surely over
+      epoch: epoch in force, 0 if there is none
+      over_at: time from which that lease is certainly expired
       quiet_at: time from which no order of any earlier controller can still
-        be under way
+        be in flight
     """
 
     def __init__(self, *, drift: float, order_timeout_s: float) -> None:
-        """Know of no lease."""
+        """Create an observer without a lease to track."""
         self.epoch = 0
         self.over_at = 0.0
         self.quiet_at = 0.0
@@ -139,40 +146,40 @@
         self._lease_s = 0.0
 
     def note_claim(self, epoch: int, lease_s: float, now: float) -> None:
-        """Note an accepted claim that was read at `now`."""
+        """Record an accepted claim that was read at `now`."""
         if self.epoch:
-            end = self.over_at + self._order_timeout_s
-            self.quiet_at = max(self.quiet_at, end)
+            orders_end_at = self.over_at + self._order_timeout_s
+            self.quiet_at = max(self.quiet_at, orders_end_at)
         self.epoch = epoch
         self._lease_s = lease_s
         self.over_at = now + lease_s * (1.0 + self._drift)
 
     def note_snapshot(self, epoch: int, lease_s: float, now: float) -> None:
-        """Note a lease out of a snapshot, which hides the ones before it."""
+        """Record a lease from a snapshot, which omits the ones before it."""
         self.note_claim(epoch, lease_s, now)
         self.quiet_at = max(self.quiet_at, self.over_at + self._order_timeout_s)
 
     def note_renewal(self, now: float) -> None:
-        """Note an accepted renewal that was read at `now`."""
+        """Record an accepted renewal that was read at `now`."""
         self.over_at = now + self._lease_s * (1.0 + self._drift)
 
     def note_release(self, now: float) -> None:
-        """Note that the holder gave the lease up."""
+        """Record that the holder gave up the lease."""
         self.over_at = min(self.over_at, now)
 
     def is_over(self, now: float) -> bool:
-        """Return whether the lease in force is surely over."""
+        """Return whether the lease in force is certainly expired."""
         return now >= self.over_at
 
 
 class LeaseView:
-    """What one node knows of the lease of its region.
+    """The lease of a region from the point of view of one node.
 
     Attributes:
-      holder: the lease as far as this process holds it
-      taker: the lease of whoever holds it
-      granted: epoch that this process was granted, also when its lease has
-        lapsed since; 0 once a later claim or a release was read
+      holder: the lease that this process holds, if any
+      observer: the lease in force, whichever node holds it
+      granted_epoch: epoch that was granted to this process, even if its
+        lease has expired since; 0 once a later claim or a release was read
     """
 
     def __init__(
@@ -183,13 +190,13 @@
         generator: "random.Random",
         rank: int = 0,
     ) -> None:
-        """Follow the lease as one candidate.
+        """Create the view of one candidate.
 
         Args:
           timing: durations of the lease.
           writer: writer of the records of this process.
           generator: source of the random delay before a claim.
-          rank: place of this node among the candidates, from 0; a later one
+          rank: rank of this node among the candidates, from 0; a higher rank
             claims later.
         """
         self.holder = LeaseHolder(lease_s=timing.lease_s)
@@ -205,17 +212,17 @@
         self._known_since: float | None = None
 
     def adopt(self, epoch: int, lease_s: float | None, now: float) -> None:
-        """Take over the lease that a snapshot tells of, read at `now`.
+        """Adopt the lease of a snapshot that was read at `now`.
 
         Args:
-          epoch: epoch in force, 0 for none.
-          lease_s: length of the lease, None when it was given up.
-          now: present time in seconds.
+          epoch: epoch in force, 0 if there is none.
+          lease_s: length of the lease, None if it was given up.
+          now: current time in seconds.
         """
         if epoch == 0:
             return
         if epoch == self.taker.epoch:
-            # The snapshot may hide renewals, so the wait starts anew.
+            # The snapshot may omit renewals, so the wait restarts.
             self.taker.note_renewal(now)
             return
         longest = max(lease_s or 0.0, self._timing.lease_s)
@@ -225,24 +232,26 @@
             self.holder.drop()
 
     def read(self, record_id: RecordId, verdict: Verdict, now: float) -> None:
-        """Follow a record of the region stream with the verdict on it."""
-        mine = record_id.writer == self._writer
+        """Process a record of the region stream and its verdict."""
+        is_own = record_id.writer == self._writer
         body = verdict.body
         if not verdict.accepted:
-            if mine:
+            if is_own:
                 self.holder.note_rejected(record_id)
             return
         if isinstance(body, ControllerClaimed):
             self._delay_s = self._draw_delay()
-            self.taker.note_claim(verdict.offset, body.lease_ms / _MS, now)
-            self.granted = verdict.offset if mine else 0
-            if mine:
+            self.taker.note_claim(
+                verdict.offset, body.lease_ms / _MS_PER_S, now
+            )
+            self.granted = verdict.offset if is_own else 0
+            if is_own:
                 self.holder.note_accepted(record_id, verdict.offset)
             else:
                 self.holder.drop()
         elif isinstance(body, ControllerRenewed):
             self.taker.note_renewal(now)
-            if mine:
+            if is_own:
                 self.holder.note_accepted(record_id, body.epoch)
         elif isinstance(body, ControllerReleased):
             self.taker.note_release(now)
@@ -254,11 +263,11 @@
         return self.holder.may_act(now)
 
     def decide(self, now: float, *, known: bool) -> LeaseDecision:
-        """Return what to do about the lease.
+        """Return the next step with regard to the lease.
 
         Args:
-          now: present time in seconds.
-          known: whether the stream was read up to its end.
+          now: current time in seconds.
+          known: whether the stream was read to its end.
         """
         holder = self.holder
         if not known:
@@ -267,7 +276,7 @@
         if self._known_since is None:
             self._known_since = now
         if holder.epoch:
-            return self._keep(now)
+            return self._renew_or_act(now)
         if holder.is_waiting(now):
             return LeaseDecision(LeaseStep.WAIT, now + self._timing.lease_s)
         claim_at = max(self.taker.over_at, self._known_since) + self._delay_s
@@ -275,8 +284,8 @@
             return LeaseDecision(LeaseStep.WAIT, claim_at)
         return LeaseDecision(LeaseStep.CLAIM, now)
 
-    def _keep(self, now: float) -> LeaseDecision:
-        """Decide for the node that holds the epoch in force."""
+    def _renew_or_act(self, now: float) -> LeaseDecision:
+        """Return the decision of the node that holds the current epoch."""
         holder = self.holder
         interval = self._timing.lease_s / _RENEWALS_PER_LEASE
         if now >= holder.sent_at + interval:
--- a/chervilrock/decisions/outage.py
+++ b/chervilrock/decisions/outage.py
@@ -1,17 +1,17 @@
-"""What the controller may still do while the log is out.
-
-Nothing may change hands: no host enters a group that the log did not reserve
-it for, and no group is formed, drained or dissolved. One thing was granted
-ahead. A serving group may have a reserve fencing number and spares, by an
-accepted record of the controller in force. With that number the controller
-may once load the group anew, with spares in place of hosts that are lost.
-
-The number is greater than the one in force, so an engine that takes it
-refuses all orders under the old one; and it is less than any number that
-another controller can get from now on, so the orders of that one win. This
-holds only for engines that refuse old numbers, hence every engine of the
-group must. And it holds only while an engine remembers the numbers it has
-seen, hence no engine that was restarted since the grant is used.
+"""Decisions of the controller while the log is unavailable.
+
+No ownership may change: no host joins a group unless the log reserved it for
+that group, and no group is formed, drained or dissolved. The one exception
+was granted in advance. A serving group may have a reserve fencing number and
+spares, by an accepted record of the current controller. With that number the
+controller may reload the group once, with spares in place of lost hosts.
+
+The reserve number is greater than the one in force, so an engine that has
+accepted it rejects all orders with the old one. It is less than any number
+that another controller can get later, so the orders of that controller take
+precedence. This requires that every engine of the group rejects old numbers,
+and that it remembers the numbers it has seen, so an engine that was restarted
+since the grant is not used.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -29,12 +29,12 @@
 
 
 class OutageTiming(NamedTuple):
-    """Waiting times while the log is out, in seconds.
+    """Waiting times while the log is unavailable, in seconds.
 
     Attributes:
-      out_after_s: time without the log after which this counts as an outage
+      out_after_s: time without the log after which an outage is assumed
       lost_after_s: absence of a host after which it is replaced
-      order_timeout_s: longest time for which an order may be under way
+      order_timeout_s: longest time for which an order may be in flight
     """
 
     out_after_s: float = 5.0
@@ -45,7 +45,7 @@
 _DEFAULT_TIMING = OutageTiming()
 
 
-class _Outage(NamedTuple):
+class _OutageContext(NamedTuple):
     """State and input of one decision."""
 
     region: RegionState
@@ -67,24 +67,25 @@
     now: float,
     timing: OutageTiming = _DEFAULT_TIMING,
 ) -> tuple[SendOrder, ...]:
-    """Return the orders that may be sent while the log is out.
+    """Return the orders that may be sent while the log is unavailable.
 
     Args:
       region: state of the region as last read.
       presence: evidence of the hosts.
-      hosts: host list as last read, of this region.
-      pending: remembers which hosts were chosen for a reserve number.
-      lease: the lease of the region as this process knows it; it may have
-        lapsed, but no claim of another process may have been read.
-      out_since: when the log was last read, if it cannot be read now.
-      now: present time in seconds.
+      hosts: host list of this region as last read.
+      pending: holds the hosts that were chosen for each reserve number.
+      lease: the lease of the region from the point of view of this process;
+        it may have expired, but no claim of another process may have been
+        read.
+      out_since: when the log was last read, None if it is available.
+      now: current time in seconds.
       timing: waiting times.
     """
     if out_since is None or now < out_since + timing.out_after_s:
         return ()
     if region.epoch == 0 or lease.granted != region.epoch:
         return ()
-    outage = _Outage(
+    outage = _OutageContext(
         region=region,
         presence=presence,
         hosts={entry["host"]: entry for entry in hosts},
@@ -96,20 +97,26 @@
         order
         for group in region.groups.values()
         if _may_use_reserve(outage, group)
-        for order in _order_group(outage, group)
+        for order in _list_group_orders(outage, group)
     )
 
 
-def _may_use_reserve(outage: _Outage, group: Group) -> bool:
-    """Return whether this controller was granted the reserve number."""
+def _may_use_reserve(outage: _OutageContext, group: Group) -> bool:
+    """Return whether the group may use its reserve number.
+
+    The number must be of the current epoch, and every engine must reject old
+    fencing numbers.
+    """
     if group.phase is not GroupPhase.SERVING:
         return False
     if group.reserve <= outage.region.epoch:
         return False
-    return all(_is_fenced(outage, host) for host in group.hosts)
+    return all(_checks_fence(outage, host) for host in group.hosts)
 
 
-def _order_group(outage: _Outage, group: Group) -> Iterator[SendOrder]:
+def _list_group_orders(
+    outage: _OutageContext, group: Group
+) -> Iterator[SendOrder]:
     chosen = outage.progress.compositions.get(group.reserve)
     if chosen is None:
         if outage.presence.whole(group, outage.now):
@@ -127,36 +134,42 @@
     if leader is None:
         return
     for rank, host in enumerate(chosen):
-        yield from _order_host(outage, repaired, rank, host, leader["address"])
+        yield from _list_host_orders(
+            outage, repaired, rank, host, leader["address"]
+        )
 
 
-def _choose_hosts(outage: _Outage, group: Group) -> tuple[str, ...] | None:
-    """Return hosts by rank with spares for those that are lost.
+def _choose_hosts(
+    outage: _OutageContext, group: Group
+) -> tuple[str, ...] | None:
+    """Return the hosts by rank, with spares in place of lost hosts.
 
     Returns:
-      None when nothing is lost for long enough or spares are wanting.
+      None if a missing host is not lost yet or there are too few spares.
     """
-    spares = [host for host in group.spares if _is_fit(outage, host, group)]
+    spares = [
+        host for host in group.spares if _is_usable_spare(outage, host, group)
+    ]
     chosen: list[str] = []
     for host in group.hosts:
         if outage.presence.is_unchanged(group, host, outage.now):
             chosen.append(host)
-        elif spares and _is_lost(outage, host):
+        elif spares and _is_host_lost(outage, host):
             chosen.append(spares.pop(0))
         else:
             return None
     return tuple(chosen)
 
 
-def _is_lost(outage: _Outage, host: str) -> bool:
-    """Return whether a host was restarted, or is missing for long enough."""
+def _is_host_lost(outage: _OutageContext, host: str) -> bool:
+    """Return whether a host was restarted or missing for too long."""
     since = outage.presence.missing_since(host, outage.now)
     return since is None or (outage.now >= since + outage.timing.lost_after_s)
 
 
-def _is_fit(outage: _Outage, host: str, group: Group) -> bool:
+def _is_usable_spare(outage: _OutageContext, host: str, group: Group) -> bool:
     evidence = outage.presence.find(host, outage.now)
-    if evidence is None or not _is_fenced(outage, host):
+    if evidence is None or not _checks_fence(outage, host):
         return False
     if not outage.presence.is_unchanged(group, host, outage.now):
         return False
@@ -164,7 +177,7 @@
     return empty and evidence.fence < group.reserve
 
 
-def _is_fenced(outage: _Outage, host: str) -> bool:
+def _checks_fence(outage: _OutageContext, host: str) -> bool:
     entry = outage.hosts.get(host)
     evidence = outage.presence.find_last(host)
     if entry is None or evidence is None:
@@ -172,8 +185,8 @@
     return entry["checks_fence"] and evidence.checks_fence
 
 
-def _order_host(
-    outage: _Outage, group: Group, rank: int, host: str, leader: str
+def _list_host_orders(
+    outage: _OutageContext, group: Group, rank: int, host: str, leader: str
 ) -> Iterator[SendOrder]:
     entry = outage.hosts.get(host)
     evidence = outage.presence.find(host, outage.now)
--- a/chervilrock/decisions/owners.py
+++ b/chervilrock/decisions/owners.py
@@ -1,4 +1,4 @@
-"""The map from hosts to the groups that own them."""
+"""Map from hosts to the groups that own them."""
 
 from collections import Counter
 import sys
@@ -7,20 +7,20 @@
 
 
 class OwnerTable:
-    """Owners of hosts, with the indexes that the controller walks.
+    """Owners of hosts, with indexes of revoked and quarantined hosts.
 
     Attributes:
       owners: owner of each host that is not free
-      revoked: hosts that must be proved empty and released
+      revoked: hosts to be released once they are proved empty
       quarantined: hosts in quarantine
     """
 
     def __init__(self) -> None:
-        """Start with every host free."""
+        """Create a table in which every host is free."""
         self.owners: dict[str, Ownership] = {}
         self.revoked: dict[str, None] = {}
         self.quarantined: dict[str, None] = {}
-        self._held: Counter[str] = Counter()
+        self._host_counts: Counter[str] = Counter()
 
     def assign(self, host: str, ownership: Ownership) -> None:
         """Set the owner of a host."""
@@ -31,12 +31,12 @@
         if ownership.quarantined:
             self.quarantined[host] = None
             return
-        self._held[ownership.group] += 1
+        self._host_counts[ownership.group] += 1
         if ownership.revoked:
             self.revoked[host] = None
 
     def revoke(self, host: str, offset: int) -> None:
-        """End the use of a host by its group; it stays owned."""
+        """End the use of a host by its group, which still owns it."""
         self.assign(host, self.owners[host]._replace(revoked=offset))
 
     def quarantine(self, host: str) -> None:
@@ -50,10 +50,10 @@
         self.quarantined.pop(host, None)
         if ownership.quarantined:
             return
-        self._held[ownership.group] -= 1
-        if not self._held[ownership.group]:
-            del self._held[ownership.group]
+        self._host_counts[ownership.group] -= 1
+        if not self._host_counts[ownership.group]:
+            del self._host_counts[ownership.group]
 
     def holds_any(self, group: str) -> bool:
         """Return whether the group owns a host outside quarantine."""
-        return group in self._held
+        return group in self._host_counts
--- a/chervilrock/decisions/ownership.py
+++ b/chervilrock/decisions/ownership.py
@@ -1,4 +1,4 @@
-"""Values of the folded state of a region."""
+"""Value types of the folded state of a region."""
 
 from typing import NamedTuple
 
@@ -23,18 +23,18 @@
     """A replica group.
 
     Attributes:
-      name: name, new when the group was granted
+      name: name, never used by an earlier group
       model: name of the model
       version: version in the weight store
       adapters: adapters loaded with it
       hosts: hosts by rank
       domain: fabric domain, empty when the group spans several
       fence: fencing number in force
-      phase: phase of life
-      revision: configuration revision on which it was granted
-      spares: hosts reserved for a repair while the log is out
-      reserve: fencing number for such a repair, 0 for none
-      incarnations: engine incarnations by rank since it began to serve
+      phase: phase of its life cycle
+      revision: configuration revision for which it was granted
+      spares: hosts reserved for a repair while the log is unavailable
+      reserve: fencing number for such a repair, 0 if there is none
+      incarnations: engine incarnations by rank, set when it begins to serve
       spare_incarnations: engine incarnation of each spare when it was granted
     """
 
@@ -53,10 +53,10 @@
     spare_incarnations: tuple[str, ...] = ()
 
     def find_incarnation(self, host: str) -> str:
-        """Return the incarnation on record of a member or a spare.
+        """Return the recorded incarnation of a member or a spare.
 
         Returns:
-          An empty string when there is none on record.
+          An empty string if none is recorded.
         """
         hosts = (*self.hosts, *self.spares)
         incarnations = (*self.incarnations, *self.spare_incarnations)
@@ -71,10 +71,10 @@
     Attributes:
       group: name of the group
       fence: fencing number under which the host is owned
-      quarantined: whether the host is kept out of all groups
+      quarantined: whether no group may use the host
       revoked: offset of the record that ended the use of the host, 0 while
-        it is a member or a spare. An order to unload carries this number, so
-        it supersedes each order to load that the owner may have sent.
+        it is a member or a spare. An order to unload carries this offset as
+        its fencing number, so it supersedes any earlier order to load.
     """
 
     group: str
@@ -91,13 +91,13 @@
 
 
 class RegionImage(NamedTuple):
-    """The folded state of a region as a snapshot carries it.
+    """The folded state of a region as stored in a snapshot.
 
     Attributes:
-      upto: offset of the last record that the state contains
-      epoch: offset of the accepted claim, 0 for none
+      upto: offset of the last record included in the state
+      epoch: offset of the accepted claim, 0 if there is none
       renewed: offset of the last accepted claim or renewal
-      seen: greatest sequence number of each writer
+      seen: highest sequence number of each writer
     """
 
     upto: int
--- a/chervilrock/decisions/presence.py
+++ b/chervilrock/decisions/presence.py
@@ -1,7 +1,7 @@
-"""Evidence that hosts are present and hold what the log says.
+"""Evidence that hosts are present and have loaded what the log says.
 
-The age of evidence counts from the moment at which the probe was sent, so an
-answer that was long under way is old when it comes.
+The age of evidence is measured from the time at which the probe was sent, so
+a slow response is already old when it arrives.
 """
 
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class ReadyEngine(NamedTuple):
-    """The incarnation that was first seen ready under a fencing number."""
+    """The first incarnation that was ready under a fencing number."""
 
     fence: int
     incarnation: str
@@ -28,12 +28,12 @@
     """The last evidence of each host.
 
     Attributes:
-      limit: greatest age of evidence in seconds
+      limit: maximum age of evidence in seconds
       created_at: when the table was created, in seconds
     """
 
     def __init__(self, *, limit: float, now: float) -> None:
-        """Start without evidence; a host never seen is missing from `now`."""
+        """Create an empty table; a host never seen is missing from `now`."""
         self.limit = limit
         self.created_at = now
         self._evidence: dict[str, Evidence] = {}
@@ -48,24 +48,25 @@
         sent_at: float,
         read_at: float | None = None,
     ) -> None:
-        """Note the answer to a probe.
+        """Record the response to a probe.
 
-        An answer to an earlier probe than the last one, and an answer that
-        names another host, change nothing.
+        A response to an earlier probe than the last one, and a response that
+        names another host, are ignored.
 
         Args:
           host: name of the host.
-          state: what its engine answered.
+          state: state that its engine reported.
           sent_at: when the probe was sent, in seconds.
-          read_at: when the answer was read, None for when it was sent.
+          read_at: when the response was read, in seconds; None to use
+            `sent_at`.
         """
         last = self._evidence.get(host)
         if state["host"] != host or (last and last.sent_at > sent_at):
             return
-        noted_at = sent_at if read_at is None else read_at
+        recorded_at = sent_at if read_at is None else read_at
         if last is not None and last.agrees_with(state):
             self._evidence[host] = Evidence(sent_at, *last[1:])
-            if noted_at >= last.sent_at + self.limit:
+            if recorded_at >= last.sent_at + self.limit:
                 self._changed.add(host)
             return
         evidence = make_evidence(state, sent_at, self._shards)
@@ -74,10 +75,11 @@
         self._note_ready(host, evidence)
 
     def settle(self, group: Group) -> None:
-        """Save memory for a group that is whole as its record says.
+        """Share the incarnations of a whole group with its record.
 
-        The incarnations on record are those of the evidence, and take the
-        place of the ones that were first seen ready.
+        The recorded incarnations equal those of the evidence. Storing the
+        same objects, and dropping the incarnations that were first ready,
+        saves memory.
         """
         for host, incarnation in zip(
             group.hosts, group.incarnations, strict=False
@@ -89,33 +91,35 @@
             self._ready = {}
 
     def take_changed(self) -> set[str]:
-        """Return the hosts whose evidence is another than at the last call.
+        """Return and reset the hosts whose evidence has changed.
 
-        A host whose evidence has only become younger is not among them, nor
-        is one whose evidence has become too old.
+        A host whose evidence was only confirmed is not included, nor is one
+        whose evidence has expired.
         """
         changed = self._changed
         self._changed = set()
         return changed
 
     def forget(self, host: str) -> None:
-        """Drop the evidence of a host, as when it refused a connection."""
+        """Drop the evidence of a host, as after a refused connection."""
         if self._evidence.pop(host, None) is not None:
             self._changed.add(host)
 
     def retain(self, hosts: set[str]) -> None:
-        """Drop all hosts but these, which are listed or owned."""
+        """Drop all hosts except these, which are listed or owned."""
         for host in self._evidence.keys() - hosts:
             self.forget(host)
         for host in self._ready.keys() - hosts:
             del self._ready[host]
-        self._shards.retain(one.own_shard for one in self._evidence.values())
+        self._shards.retain(
+            evidence.own_shard for evidence in self._evidence.values()
+        )
 
     def find_expiry(self, hosts: tuple[str, ...]) -> float:
-        """Return when the oldest evidence of some hosts gets too old.
+        """Return when the oldest evidence of some hosts expires.
 
         Returns:
-          Negative infinity when there is none of a host.
+          Negative infinity if a host has no evidence.
         """
         evidence = self._evidence
         try:
@@ -132,7 +136,7 @@
         return self._evidence.get(host)
 
     def missing_since(self, host: str, now: float) -> float | None:
-        """Return when the evidence of a host passed the age limit."""
+        """Return when the evidence of a host expired, None if it is valid."""
         last = self._evidence.get(host)
         since = self.created_at if last is None else last.sent_at + self.limit
         return since if now > since else None
@@ -140,7 +144,7 @@
     def missing(
         self, group: Group, now: float, limit: float | None = None
     ) -> tuple[str, ...]:
-        """Return the hosts of a group that are not proved present."""
+        """Return the hosts of a group without valid evidence."""
         age = self.limit if limit is None else limit
         return tuple(
             host for host in group.hosts if self._find(host, now, age) is None
@@ -151,7 +155,7 @@
     ) -> bool:
         """Return whether every host of a group is present and ready.
 
-        Each host must hold its own rank of the group under the fencing number
+        Each host must have its own rank of the group under the fencing number
         in force, in the incarnation in which it became ready.
         """
         age = self.limit if limit is None else limit
@@ -165,18 +169,18 @@
         return self._is_ready(group, rank, now, self.limit)
 
     def servable(self, region: RegionState, now: float) -> tuple[Group, ...]:
-        """Return the groups that may serve now, as `find_servable` does."""
+        """Return the groups that may serve now, as by `find_servable`."""
         found = (
             self.find_servable(group, now) for group in region.groups.values()
         )
         return tuple(group for group in found if group is not None)
 
     def compose_reserve(self, group: Group, now: float) -> Group | None:
-        """Return the group as ready under its reserve fencing number.
+        """Return the group as loaded under its reserve fencing number.
 
         Returns:
-          None unless exactly one host holds each rank under that number, in
-          the incarnation on record, and each engine refuses old numbers.
+          None unless exactly one host has each rank under that number, in the
+          recorded incarnation, and each engine rejects old numbers.
         """
         if not group.reserve:
             return None
@@ -202,25 +206,27 @@
         return repaired if self._is_fenced(repaired, now) else None
 
     def find_incarnations(self, hosts: tuple[str, ...]) -> tuple[str, ...]:
-        """Return the incarnation last seen of each host, empty for none."""
+        """Return the last incarnation of each host, empty if unknown."""
         found = (self._evidence.get(host) for host in hosts)
-        return tuple(one.incarnation if one else "" for one in found)
+        return tuple(
+            evidence.incarnation if evidence else "" for evidence in found
+        )
 
     def is_unchanged(self, group: Group, host: str, now: float) -> bool:
-        """Return whether a host is present in the incarnation on record."""
+        """Return whether a host is present in its recorded incarnation."""
         evidence = self.find(host, now)
         if evidence is None:
             return False
         return evidence.incarnation == group.find_incarnation(host)
 
     def find_servable(self, group: Group, now: float) -> Group | None:
-        """Return a group with the hosts and the number that it has now.
+        """Return a group with its actual hosts and fencing number.
 
-        They differ from those on record when the group was repaired under its
-        reserve fencing number while the log was out.
+        They differ from the recorded ones if the group was repaired under its
+        reserve fencing number while the log was unavailable.
 
         Returns:
-          None when the group may not serve now.
+          None if the group may not serve now.
         """
         if group.phase is not GroupPhase.SERVING:
             return None
@@ -233,7 +239,9 @@
 
     def _is_fenced(self, group: Group, now: float) -> bool:
         found = (self.find(host, now) for host in group.hosts)
-        return all(one is not None and one.checks_fence for one in found)
+        return all(
+            evidence is not None and evidence.checks_fence for evidence in found
+        )
 
     def _is_ready(
         self, group: Group, rank: int, now: float, limit: float
--- a/chervilrock/decisions/records.py
+++ b/chervilrock/decisions/records.py
@@ -1,7 +1,7 @@
-"""Bodies of log records, and the writer that gives records their identity.
+"""Bodies of log records, and the writer that assigns record identifiers.
 
-A record that cannot be read must never stop a fold: decoding answers None
-instead of raising, and the fold rejects the record.
+A record that cannot be decoded must never stop a fold: decoding returns None
+instead of raising an error, and the fold rejects the record.
 """
 
 from collections import OrderedDict
@@ -31,7 +31,7 @@
 )
 
 MAX_WRITERS = 4096
-"""Writers whose last sequence number a fold remembers."""
+"""Number of writers whose last sequence number a fold remembers."""
 
 Body = (
     ControllerClaimed
@@ -77,7 +77,7 @@
 
 
 class Page(Protocol):
-    """What a fold needs of a page that was read from a stream."""
+    """A page that was read from a stream."""
 
     @property
     def records(self) -> tuple[StoredRecord, ...]:
@@ -85,15 +85,15 @@
 
     @property
     def first_offset(self) -> int:
-        """Least offset still kept, 1 when nothing was trimmed."""
+        """Lowest offset still stored, 1 if nothing was trimmed."""
 
     @property
     def next_offset(self) -> int:
-        """Offset that the next record will get."""
+        """Offset of the next record to be appended."""
 
 
 def find_kind(body: Body) -> RecordKind:
-    """Return the kind of record that carries such a body."""
+    """Return the kind of record for a body."""
     return _KINDS[type(body)]
 
 
@@ -103,7 +103,7 @@
 
 
 def decode_body(record: Record) -> Body | None:
-    """Return the typed body, or None when it does not fit the kind."""
+    """Return the typed body, or None if it does not match the kind."""
     body_type = BODY_TYPES.get(record.kind)
     if body_type is None:
         return None
@@ -116,14 +116,14 @@
 def decode_stored(raw: Any) -> StoredRecord | None:
     """Return a stored record from the plain JSON value of the log service.
 
-    A record that this version cannot read becomes one of the kind `unknown`,
-    so that its offset is still counted.
+    A record that this version cannot decode becomes one of kind `unknown`,
+    so that its offset still counts.
 
     Args:
       raw: an array `[offset, record]`.
 
     Returns:
-      None when not even the offset can be read.
+      None if not even the offset can be decoded.
     """
     try:
         return msgspec.convert(raw, type=StoredRecord)
@@ -138,16 +138,16 @@
 
 
 class RecordWriter:
-    """Gives records an identity that is unique for all time.
+    """Assigns records an identifier that is never reused.
 
     The caller keeps the record that `prepare` returns and appends that same
-    record again when an answer was lost. Records must be appended in the
-    order in which they were prepared: a fold drops a record that comes for
-    the first time after a later one of the same writer.
+    record again if the response was lost. Records must be appended in the
+    order in which they were prepared: a fold treats a record as a duplicate
+    if a later one of the same writer precedes it in the log.
     """
 
     def __init__(self, *, node: str, incarnation: str) -> None:
-        """Start to count from 1 for one incarnation of a node."""
+        """Create a writer for one incarnation of a node, counting from 1."""
         self.writer = f"{node}/{incarnation}"
         self._sequence = 0
 
@@ -162,33 +162,33 @@
 
 
 class SeenRecords:
-    """The greatest sequence number read from each writer.
+    """Highest sequence number read from each writer.
 
-    Only the writers heard last are kept, in the order of the log, so that
-    every reader keeps the same ones. A double that comes after its writer was
-    forgotten is judged again; the epoch, the fencing number or the base
-    revision that it names has passed by then.
+    Only the writers with the most recent records are kept, in log order, so
+    that every reader keeps the same ones. A duplicate that arrives after its
+    writer was evicted is evaluated again; by then the epoch, fencing number
+    or base revision in it is out of date, so it is rejected.
     """
 
     def __init__(self, *, limit: int = MAX_WRITERS) -> None:
-        """Remember at most `limit` writers."""
+        """Create an empty set that keeps at most `limit` writers."""
         self._limit = limit
-        self._greatest: OrderedDict[str, int] = OrderedDict()
+        self._highest: OrderedDict[str, int] = OrderedDict()
 
     def add(self, record_id: RecordId) -> bool:
-        """Note a record; return False when it is a double."""
-        if record_id.sequence <= self._greatest.get(record_id.writer, 0):
+        """Record an identifier; return False if it is a duplicate."""
+        if record_id.sequence <= self._highest.get(record_id.writer, 0):
             return False
-        self._greatest[record_id.writer] = record_id.sequence
-        self._greatest.move_to_end(record_id.writer)
-        if len(self._greatest) > self._limit:
-            self._greatest.popitem(last=False)
+        self._highest[record_id.writer] = record_id.sequence
+        self._highest.move_to_end(record_id.writer)
+        if len(self._highest) > self._limit:
+            self._highest.popitem(last=False)
         return True
 
     def export(self) -> tuple[RecordId, ...]:
-        """Return the last record of each writer, oldest writer first."""
-        return tuple(RecordId(*item) for item in self._greatest.items())
+        """Return the last identifier of each writer, oldest writer first."""
+        return tuple(RecordId(*item) for item in self._highest.items())
 
     def restore(self, seen: tuple[RecordId, ...]) -> None:
-        """Replace the content by what `export` returned."""
-        self._greatest = OrderedDict(seen)
+        """Replace the content with the result of `export`."""
+        self._highest = OrderedDict(seen)
--- a/chervilrock/decisions/region.py
+++ b/chervilrock/decisions/region.py
@@ -1,8 +1,9 @@
 """The fold of a region stream: controller, groups and owners of hosts.
 
-The state depends on the records alone, never on a clock, so every reader of
-the stream comes to the same state. A record names the epoch, the fencing
-number or the phase that it supersedes; the first one that fits is accepted.
+The state depends only on the records, never on a clock, so every reader of
+the stream arrives at the same state. A record names the epoch, the fencing
+number or the phase that it supersedes; the first one that matches the state
+is accepted.
 """
 
 import sys
@@ -30,18 +31,18 @@
 
     Attributes:
       upto: offset of the last record applied
-      epoch: offset of the accepted claim, 0 for none
-      renewed: offset of the last accepted claim or renewal, 0 for none
+      epoch: offset of the accepted claim, 0 if there is none
+      renewed: offset of the last accepted claim or renewal, 0 if there is none
       controller: the controller of this epoch, None after a release
       groups: groups by name; a dissolved group stays until each of its hosts
         is released or quarantined
       owners: owner of each host that is not free
-      revoked: hosts that must be proved empty and released
+      revoked: hosts to be released once they are proved empty
       quarantined: hosts in quarantine
     """
 
     def __init__(self) -> None:
-        """Start with the state of an empty stream."""
+        """Create the state of an empty stream."""
         self.upto = 0
         self.epoch = 0
         self.renewed = 0
@@ -54,7 +55,7 @@
         self._seen = SeenRecords()
 
     def apply(self, stored: StoredRecord) -> Verdict:
-        """Apply the next record and say what came of it."""
+        """Apply the next record and return the verdict."""
         offset = stored.offset
         if offset <= self.upto:
             return Verdict(VerdictKind.SKIPPED, offset)
@@ -64,7 +65,7 @@
             return Verdict(VerdictKind.REJECTED, offset, Reason.UNREADABLE)
         if not self._seen.add(stored.record.record_id):
             return Verdict(VerdictKind.DOUBLED, offset, body=body)
-        reason = self._judge(body, offset)
+        reason = self._apply_rule(body, offset)
         kind = VerdictKind.REJECTED if reason else VerdictKind.ACCEPTED
         return Verdict(kind, offset, reason, body)
 
@@ -73,12 +74,12 @@
         return host not in self.owners
 
     def resume(self, first_offset: int) -> bool:
-        """Return False: only a snapshot tells what lost records did."""
+        """Return False, as only a snapshot can replace lost records."""
         del first_offset
         return False
 
     def inherit(self, other: "RegionState") -> None:
-        """Do nothing: a region knows nothing but the log."""
+        """Do nothing, as all state of a region is in the log."""
 
     def export(self) -> str:
         """Return the state as JSON text."""
@@ -98,7 +99,7 @@
         """Return the state that `export` wrote.
 
         Raises:
-          msgspec.DecodeError: the text is no such state.
+          msgspec.DecodeError: the text is not a valid state.
         """
         image = msgspec.json.decode(text, type=RegionImage)
         state = cls()
@@ -110,12 +111,12 @@
         state._seen.restore(image.seen)
         owners: dict[Ownership, Ownership] = {}
         for host, ownership in image.owners:
-            # The hosts of a group share one value, as when it was granted.
+            # The hosts of a group share one value, as after a grant.
             owner = owners.setdefault(ownership, ownership)
             state.table.assign(host, owner)
         return state
 
-    def _judge(self, body: Body, offset: int) -> Reason | None:
+    def _apply_rule(self, body: Body, offset: int) -> Reason | None:
         rule = RULES.get(type(body))
         if rule is None:
             return Reason.FOREIGN_KIND
--- a/chervilrock/decisions/region_rules.py
+++ b/chervilrock/decisions/region_rules.py
@@ -1,7 +1,7 @@
 """Rules for the records of a region stream.
 
-Each rule looks at the state alone, and either changes it or returns why the
-record is rejected.
+Each rule depends only on the record and the state. It either changes the
+state or returns the reason for which the record is rejected.
 """
 
 from collections.abc import Callable
@@ -28,21 +28,21 @@
 if TYPE_CHECKING:
     from chervilrock.decisions.region import RegionState
 
-_ORDER = {
+_PHASE_ORDER = {
     GroupPhase.LOADING: 0,
     GroupPhase.SERVING: 1,
     GroupPhase.DRAINING: 2,
     GroupPhase.DISSOLVED: 3,
 }
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
-def _claim(
+def _claim_epoch(
     state: "RegionState", body: ControllerClaimed, offset: int
 ) -> Reason | None:
     if body.replaces_epoch != state.epoch:
         return Reason.STALE_EPOCH
-    # A taker that reads the log late must not replace a lease which was
+    # A candidate that reads the log late must not replace a lease that was
     # renewed after the last record that it has read.
     if body.replaces_renewal != state.renewed:
         return Reason.STALE_EPOCH
@@ -51,12 +51,12 @@
     state.controller = Controller(
         node=body.node,
         address=body.address,
-        lease_s=body.lease_ms / _MS,
+        lease_s=body.lease_ms / _MS_PER_S,
     )
     return None
 
 
-def _renew(
+def _renew_lease(
     state: "RegionState", body: ControllerRenewed, offset: int
 ) -> Reason | None:
     reason = _check_epoch(state, body.epoch)
@@ -65,7 +65,7 @@
     return reason
 
 
-def _resign(
+def _release_controller(
     state: "RegionState", body: ControllerReleased, _: int
 ) -> Reason | None:
     reason = _check_epoch(state, body.epoch)
@@ -74,13 +74,13 @@
     return reason
 
 
-def _keep(
+def _accept_snapshot_part(
     state: "RegionState", _body: SnapshotPart, _offset: int
 ) -> Reason | None:
     return None
 
 
-def _grant(
+def _grant_group(
     state: "RegionState", body: GroupGranted, offset: int
 ) -> Reason | None:
     reason = _check_epoch(state, body.epoch)
@@ -111,7 +111,7 @@
     return None
 
 
-def _repair(
+def _repair_group(
     state: "RegionState", body: GroupRepaired, offset: int
 ) -> Reason | None:
     reason = _check_group(state, body.epoch, body.group, body.fence)
@@ -126,7 +126,7 @@
     if len(hosts) != len(group.hosts) or not _are_distinct(hosts):
         return Reason.WRONG_HOSTS
     usable = {*group.hosts, *group.spares}
-    if any(h in state.owners and h not in usable for h in hosts):
+    if any(host in state.owners and host not in usable for host in hosts):
         return Reason.HOST_OWNED
     fence = body.reserve or offset
     for host in group.hosts:
@@ -162,7 +162,9 @@
         return Reason.WRONG_HOSTS
     if len(body.incarnations) != len(spares):
         return Reason.WRONG_HOSTS
-    if any(h in state.owners and h not in group.spares for h in spares):
+    if any(
+        host in state.owners and host not in group.spares for host in spares
+    ):
         return Reason.HOST_OWNED
     for host in group.spares:
         if host not in spares:
@@ -185,7 +187,7 @@
     if reason is not None:
         return reason
     group = state.groups[body.group]
-    if _ORDER[body.phase] <= _ORDER[group.phase]:
+    if _PHASE_ORDER[body.phase] <= _PHASE_ORDER[group.phase]:
         return Reason.WRONG_PHASE
     if body.incarnations and len(body.incarnations) != len(group.hosts):
         return Reason.WRONG_HOSTS
@@ -200,7 +202,9 @@
     return None
 
 
-def _release(state: "RegionState", body: HostReleased, _: int) -> Reason | None:
+def _release_host(
+    state: "RegionState", body: HostReleased, _: int
+) -> Reason | None:
     reason = _check_host(state, body.epoch, body.host, body.fence)
     if reason is not None:
         return reason
@@ -208,11 +212,11 @@
         return Reason.HOST_NOT_REVOKED
     name = state.owners[body.host].group
     state.table.remove(body.host)
-    _drop_empty(state, name)
+    _remove_if_hostless(state, name)
     return None
 
 
-def _quarantine(
+def _quarantine_host(
     state: "RegionState", body: HostQuarantined, _: int
 ) -> Reason | None:
     reason = _check_host(state, body.epoch, body.host, body.fence)
@@ -221,11 +225,13 @@
     if body.host in state.quarantined:
         return Reason.HOST_NOT_REVOKED
     state.table.quarantine(body.host)
-    _drop_empty(state, state.owners[body.host].group)
+    _remove_if_hostless(state, state.owners[body.host].group)
     return None
 
 
-def _clear(state: "RegionState", body: HostCleared, _: int) -> Reason | None:
+def _clear_host(
+    state: "RegionState", body: HostCleared, _: int
+) -> Reason | None:
     reason = _check_host(state, body.epoch, body.host, body.fence)
     if reason is not None:
         return reason
@@ -265,8 +271,8 @@
     return None if ownership.fence == fence else Reason.STALE_FENCE
 
 
-def _drop_empty(state: "RegionState", name: str) -> None:
-    """Forget a dissolved group that owns no host any more."""
+def _remove_if_hostless(state: "RegionState", name: str) -> None:
+    """Remove a dissolved group that no longer owns a host."""
     group = state.groups.get(name)
     if group is None or group.phase is not GroupPhase.DISSOLVED:
         return
@@ -279,16 +285,16 @@
 
 
 RULES: dict[type[Any], Callable[["RegionState", Any, int], Reason | None]] = {
-    ControllerClaimed: _claim,
-    ControllerRenewed: _renew,
-    ControllerReleased: _resign,
-    GroupGranted: _grant,
-    GroupRepaired: _repair,
+    ControllerClaimed: _claim_epoch,
+    ControllerRenewed: _renew_lease,
+    ControllerReleased: _release_controller,
+    GroupGranted: _grant_group,
+    GroupRepaired: _repair_group,
     SparesGranted: _grant_spares,
     GroupPhaseChanged: _change_phase,
-    HostReleased: _release,
-    HostQuarantined: _quarantine,
-    HostCleared: _clear,
-    SnapshotPart: _keep,
+    HostReleased: _release_host,
+    HostQuarantined: _quarantine_host,
+    HostCleared: _clear_host,
+    SnapshotPart: _accept_snapshot_part,
 }
-"""The rule for each type of body that stands in a region stream."""
+"""The rule for each type of body in a region stream."""
--- a/chervilrock/decisions/shards.py
+++ b/chervilrock/decisions/shards.py
@@ -1,4 +1,4 @@
-"""Which shard a host of a group should hold."""
+"""Shards of the hosts of a group, and the orders to load them."""
 
 from chervilrock.decisions.ownership import Group
 from chervilrock.generated.interfaces import EngineOrder, EngineShard
@@ -9,7 +9,7 @@
 
     Args:
       group: the group.
-      rank: place of the host in the group.
+      rank: rank of the host in the group.
       leader: IP:port of the engine with rank 0.
     """
     return EngineShard(
@@ -34,12 +34,12 @@
 
 
 def order_unload(group: str, fence: int) -> EngineOrder:
-    """Return the order to unload whatever the engine holds."""
+    """Return the order to unload whatever the engine has loaded."""
     return EngineOrder(fence=fence, group=group)
 
 
 def holds_rank(shard: EngineShard | None, group: Group, rank: int) -> bool:
-    """Return whether a shard is the one of this rank, number and size."""
+    """Return whether a shard matches a group and a rank of it."""
     if shard is None:
         return False
     return (
--- a/chervilrock/decisions/snapshots.py
+++ b/chervilrock/decisions/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of folded state, written back into the stream as parts.
+"""Snapshots of folded state, appended to the stream in parts.
 
-A snapshot is usable when all its parts were read and no record between its
-last offset and the first one that the log still keeps is lost.
+A snapshot is usable if all its parts were read and no record is missing
+between its last offset and the first offset that the log still stores.
 """
 
 from collections import OrderedDict
@@ -9,18 +9,18 @@
 
 from chervilrock.generated.records import SnapshotPart
 
-PART_CHARACTERS = 60_000
-"""Greatest length of the state in one part."""
+MAX_PART_CHARACTERS = 60_000
+"""Maximum number of characters of the state in one part."""
 
-MAX_PARTIAL = 4
-"""Snapshots of which some parts are kept while others are missing."""
+MAX_INCOMPLETE_SNAPSHOTS = 4
+"""Maximum number of incomplete snapshots whose parts are kept."""
 
 
 class Snapshot(NamedTuple):
-    """A whole snapshot.
+    """A complete snapshot.
 
     Attributes:
-      upto: offset of the last record that the state contains
+      upto: offset of the last record included in the state
       text: the state as JSON text
     """
 
@@ -34,8 +34,8 @@
     Attributes:
       records: number of records after the last snapshot
       age_s: age of the last snapshot in seconds; well below the retention
-        time of the log, so that a snapshot is always kept whole, with each
-        record that follows it
+        time of the log, so that the log always holds a complete snapshot and
+        every record after it
     """
 
     records: int = 2000
@@ -43,15 +43,15 @@
 
 
 def split_snapshot(
-    name: str, upto: int, text: str, size: int = PART_CHARACTERS
+    name: str, upto: int, text: str, size: int = MAX_PART_CHARACTERS
 ) -> tuple[SnapshotPart, ...]:
     """Return the parts of a snapshot.
 
     Args:
-      name: identity, never used for another snapshot.
-      upto: offset of the last record that the state contains.
+      name: unique identifier of the snapshot.
+      upto: offset of the last record included in the state.
       text: the state as JSON text.
-      size: greatest length of the text in one part, in characters.
+      size: maximum length of the text in one part, in characters.
     """
     pieces = [
         text[start : start + size] for start in range(0, len(text), size)
@@ -74,24 +74,24 @@
 
 
 class SnapshotAssembler:
-    """Puts the parts of snapshots together.
+    """Assembles snapshots from their parts.
 
-    Parts of several snapshots may come in between each other, twice, or in
-    any order. A snapshot of which a part never comes is dropped when others
-    have begun after it.
+    Parts of several snapshots may be interleaved, repeated and in any order.
+    When too many snapshots are incomplete, the one that began first is
+    dropped.
     """
 
-    def __init__(self, *, limit: int = MAX_PARTIAL) -> None:
-        """Keep parts of at most `limit` unfinished snapshots."""
+    def __init__(self, *, limit: int = MAX_INCOMPLETE_SNAPSHOTS) -> None:
+        """Create an assembler for at most `limit` incomplete snapshots."""
         self._limit = limit
         self._parts: OrderedDict[str, dict[int, SnapshotPart]] = OrderedDict()
 
     def add(self, part: SnapshotPart) -> Snapshot | None:
-        """Add a part; return the snapshot when it is the last missing one."""
+        """Add a part; return the snapshot once it is complete."""
         if not 0 <= part.number < part.parts:
             return None
         parts = self._parts.setdefault(part.snapshot, {})
-        if any(_differ(part, other) for other in parts.values()):
+        if any(_is_inconsistent(part, other) for other in parts.values()):
             del self._parts[part.snapshot]
             return None
         parts[part.number] = part
@@ -105,39 +105,39 @@
 
 
 class SnapshotSchedule:
-    """Tells when the next snapshot of a stream is due.
+    """Schedules the snapshots of a stream.
 
     Attributes:
-      upto: last offset in the last whole snapshot that was read
+      upto: last offset in the last complete snapshot that was read
     """
 
     def __init__(self, *, policy: SnapshotPolicy) -> None:
-        """Start without a snapshot."""
+        """Create a schedule without a previous snapshot."""
         self.upto = 0
         self._policy = policy
         self._read_at: float | None = None
-        self._started_at: float | None = None
+        self._written_at: float | None = None
 
     def note_read(self, upto: int, now: float) -> None:
-        """Note that a whole snapshot was read back."""
+        """Record that a complete snapshot was read back."""
         if upto >= self.upto:
             self.upto = upto
             self._read_at = now
 
     def note_written(self, now: float) -> None:
-        """Note that a snapshot is being appended; the next one waits."""
-        self._started_at = now
+        """Record that a snapshot is being appended, to delay the next one."""
+        self._written_at = now
 
     def is_due(self, upto: int, now: float) -> bool:
-        """Return whether a snapshot shall be written.
+        """Return whether a snapshot is to be written.
 
         Args:
-          upto: offset of the last record that the state contains.
-          now: present time in seconds.
+          upto: offset of the last record included in the state.
+          now: current time in seconds.
         """
         if upto == 0:
             return False
-        if self._started_at is not None and now < self._started_at + (
+        if self._written_at is not None and now < self._written_at + (
             self._policy.age_s / 10
         ):
             return False
@@ -148,8 +148,8 @@
         return now >= self._read_at + self._policy.age_s
 
 
-def _differ(part: SnapshotPart, other: SnapshotPart) -> bool:
-    """Return whether two parts cannot belong to the same snapshot."""
+def _is_inconsistent(part: SnapshotPart, other: SnapshotPart) -> bool:
+    """Return whether two parts are inconsistent with one snapshot."""
     if (part.parts, part.upto) != (other.parts, other.upto):
         return True
     return part.number == other.number and part.body != other.body
--- a/chervilrock/decisions/streams.py
+++ b/chervilrock/decisions/streams.py
@@ -1,9 +1,9 @@
-"""Reading a stream that is trimmed, and knowing what is not known.
+"""Reading of streams that may have been trimmed.
 
-A reader that begins at offset 1 of a stream that was never trimmed knows
-everything, even when the stream is empty. When records before the next one
-are gone, the reader knows nothing until it finds a usable snapshot: a trimmed
-stream must never pass for an empty one.
+A reader that starts at offset 1 of a stream that was never trimmed knows the
+whole state, even if the stream is empty. If records before the next one were
+trimmed, the state is unknown until the reader finds a usable snapshot: a
+trimmed stream must never be mistaken for an empty one.
 """
 
 import enum
@@ -22,7 +22,7 @@
 
 
 class Fold(Protocol):
-    """State that is folded from a stream and kept in snapshots."""
+    """State that is folded from a stream and stored in snapshots."""
 
     upto: int
 
@@ -30,10 +30,10 @@
         """Apply the next record."""
 
     def resume(self, first_offset: int) -> bool:
-        """Skip records that are lost, if what they told is known."""
+        """Skip lost records if their effect on the state is known."""
 
     def inherit(self, other: Self) -> None:
-        """Keep what an earlier fold knew besides the log."""
+        """Adopt state of an earlier fold that did not come from the log."""
 
     def export(self) -> str:
         """Return the state as JSON text."""
@@ -54,22 +54,22 @@
 
 
 class FoldStep(NamedTuple):
-    """A record and what the fold made of it."""
+    """A record and the verdict of the fold."""
 
     stored: StoredRecord
     verdict: Verdict
 
 
 class ReadResult(NamedTuple):
-    """What a page brought.
+    """Result of processing a page.
 
     Attributes:
       steps: records that were applied, in order
-      restored: whether the state was replaced by a snapshot before the steps
-        or after them; the owner then takes over the whole state
-      snapshots: last offsets of the whole snapshots that were read
+      restored: whether the whole state was replaced before or after the
+        steps; the caller must then process all of it anew
+      snapshots: last offsets of the complete snapshots that were read
       position: offset to read next
-      knowledge: whether the state is known now
+      knowledge: whether the state is known
     """
 
     steps: tuple[FoldStep, ...]
@@ -80,17 +80,17 @@
 
 
 class StreamReader(Generic[F]):
-    """Turns pages of a stream into steps of a fold.
+    """Applies pages of a stream to a fold.
 
     Attributes:
-      fold: the folded state; of use only when known
+      fold: the folded state; valid only if it is known
       position: offset to read next
-      knowledge: known from the first time on at which the end of the stream
-        was reached without a gap, until there is a gap
+      knowledge: becomes known when the end of the stream is reached without
+        a gap, and unknown again at the next gap
     """
 
     def __init__(self, *, fold: F) -> None:
-        """Read from the beginning into an empty fold."""
+        """Create a reader at the start of a stream, with an empty fold."""
         self.fold = fold
         self.position = 1
         self.knowledge = Knowledge.UNKNOWN
@@ -103,12 +103,12 @@
         return self.knowledge is Knowledge.KNOWN
 
     def read(self, start: int, page: Page) -> ReadResult:
-        """Take in a page.
+        """Process a page.
 
         Args:
-          start: offset that was asked for; a page that was asked for from
-            another offset than `position` is dropped.
-          page: what the log service answered.
+          start: requested offset of the page; the page is dropped if this is
+            not `position`.
+          page: response of the log service.
         """
         steps: list[FoldStep] = []
         snapshots: list[int] = []
@@ -118,13 +118,13 @@
             for stored in page.records:
                 if stored.offset < self.position:
                     continue
-                snapshot = self._take(stored, steps)
+                snapshot = self._apply_record(stored, steps)
                 if snapshot is not None:
                     snapshots.append(snapshot.upto)
-                    if self._use(snapshot, page):
+                    if self._restore(snapshot, page):
                         restored = True
                         break
-            self._note_end(page)
+            self._check_end(page)
         return ReadResult(
             steps=tuple(steps),
             restored=restored,
@@ -134,7 +134,11 @@
         )
 
     def _check_gap(self, page: Page) -> bool:
-        """Search for a snapshot when records before the page are lost."""
+        """Search for a snapshot if records before the page are lost.
+
+        Returns:
+          Whether the fold resumed without a snapshot.
+        """
         if self._searching:
             self.position = max(self.position, page.first_offset)
             return False
@@ -149,7 +153,7 @@
         self.position = page.first_offset
         return False
 
-    def _take(
+    def _apply_record(
         self, stored: StoredRecord, steps: list[FoldStep]
     ) -> Snapshot | None:
         self.position = stored.offset + 1
@@ -160,8 +164,8 @@
             return None
         return self._assembler.add(body)
 
-    def _use(self, snapshot: Snapshot, page: Page) -> bool:
-        """Go on from a snapshot; return False when it is of no use."""
+    def _restore(self, snapshot: Snapshot, page: Page) -> bool:
+        """Restore the state from a snapshot; return False if unusable."""
         if not self._searching or not is_usable(
             snapshot.upto, page.first_offset
         ):
@@ -178,6 +182,6 @@
         self._searching = False
         return True
 
-    def _note_end(self, page: Page) -> None:
+    def _check_end(self, page: Page) -> None:
         if not self._searching and self.position >= page.next_offset:
             self.knowledge = Knowledge.KNOWN
--- a/chervilrock/decisions/verdicts.py
+++ b/chervilrock/decisions/verdicts.py
@@ -1,4 +1,4 @@
-"""What a fold makes of a record."""
+"""Results of applying a record to a fold."""
 
 import enum
 from typing import NamedTuple
@@ -32,13 +32,13 @@
 
 
 class Verdict(NamedTuple):
-    """Judgement of a fold on one record.
+    """Result of applying one record to a fold.
 
     Attributes:
-      kind: `skipped` for an offset that the fold has already passed
+      kind: outcome; `skipped` for an offset that was already applied
       offset: offset of the record
       reason: set when the record was rejected
-      body: typed body, None when it was not read
+      body: typed body, None if it was not decoded
     """
 
     kind: VerdictKind
--- a/chervilrock/decisions/views.py
+++ b/chervilrock/decisions/views.py
@@ -1,4 +1,4 @@
-"""What requests are routed by, and figures of a region for operators."""
+"""Endpoints that requests are routed to, and statistics of a region."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
@@ -12,17 +12,17 @@
 from chervilrock.generated.records import GroupPhase
 
 REFRESHES_PER_LIMIT = 6
-"""How often the ends of validity are found anew in one age limit."""
+"""Number of times per age limit at which expiry times are refreshed."""
 
 _NEVER = float("-inf")
 
 
 class TimedEndpoint(NamedTuple):
-    """A group that may get requests for a while.
+    """A group that may get requests for a limited time.
 
     Attributes:
       endpoint: the group
-      until: end of the age limit of its oldest evidence, in seconds
+      until: expiry time of its oldest evidence, in seconds
     """
 
     endpoint: Endpoint
@@ -30,12 +30,12 @@
 
 
 class Change(NamedTuple):
-    """What an update of the endpoints brought.
+    """Result of an update of the endpoints.
 
     Attributes:
-      groups: whether other groups may get requests, or the same ones in
-        another form
-      ends: whether the ends of validity were found anew
+      groups: whether the set of groups that may get requests has changed, or
+        the endpoint of one of them
+      expiries: whether the expiry times were refreshed
     """
 
     groups: bool
@@ -43,13 +43,13 @@
 
 
 class _Entry:
-    """A group that serves by the log.
+    """A group in the phase `serving`.
 
     Attributes:
-      group: the group on record
-      servable: the group as it may serve, None when it may not
-      endpoint: what requests are routed to, None for nothing
-      until: end of the age limit of its oldest evidence
+      group: the recorded group
+      servable: the group as it may serve, None if it may not
+      endpoint: endpoint for requests, None if there is none
+      until: expiry time of its oldest evidence, in seconds
     """
 
     __slots__ = ("group", "servable", "endpoint", "until")
@@ -62,20 +62,20 @@
 
 
 class EndpointTable:
-    """The groups that may get requests, kept up to date by what changes.
+    """The groups that may get requests, updated incrementally.
 
-    A group is judged again when its record, the host list or the evidence of
-    one of its hosts has changed, and when its evidence gets too old. Evidence
-    that only becomes younger is looked at several times in an age limit, for
-    all groups at once. Until then the end of validity is too early, never too
-    late, and who routes by the endpoints checks it at each request.
+    A group is checked again when its record, the host list or the evidence of
+    one of its hosts has changed, and when its evidence expires. Evidence that
+    was only confirmed is evaluated a few times per age limit, for all groups
+    at once. Until then the expiry time is too early, never too late. Routers
+    check it at each request.
 
     Attributes:
-      endpoints: groups that may get requests, and until when
+      endpoints: groups that may get requests, with their expiry times
     """
 
     def __init__(self, *, presence: PresenceTable) -> None:
-        """Start without groups."""
+        """Create a table without groups."""
         self.endpoints: tuple[TimedEndpoint, ...] = ()
         self._presence = presence
         self._entries: dict[str, _Entry] = {}
@@ -84,7 +84,7 @@
         self._upto = 0
         self._refresh_at = _NEVER
         self._expires_at = float("inf")
-        self._groups: tuple[Endpoint, ...] = ()
+        self._published_groups: tuple[Endpoint, ...] = ()
 
     def update(
         self,
@@ -97,11 +97,11 @@
 
         Args:
           region: folded state of the region.
-          hosts: host list by name; another object when it has changed.
+          hosts: host list by name; a new object whenever it has changed.
           changed: hosts whose evidence has changed since the last call.
-          now: present time in seconds.
+          now: current time in seconds.
         """
-        stale = self._follow_groups(region)
+        stale = self._update_groups(region)
         for host in changed:
             ownership = region.owners.get(host)
             if ownership is not None:
@@ -113,31 +113,31 @@
         if due:
             stale.update(self._refresh(now))
         for name in stale & self._entries.keys():
-            self._judge(self._entries[name], now)
+            self._update_entry(self._entries[name], now)
         if not stale and not due:
             return Change(groups=False, ends=False)
-        return Change(groups=self._collect(now), ends=due)
+        return Change(groups=self._rebuild_endpoints(now), ends=due)
 
     def list_servable(self) -> Iterator[Group]:
-        """Yield the groups that may serve, also those with a leaving host."""
+        """Yield the groups that may serve, even with a leaving host."""
         for entry in self._entries.values():
             if entry.servable is not None:
                 yield entry.servable
 
     def list_broken(self) -> Iterator[Group]:
-        """Yield the serving groups that are not whole as they are on record."""
+        """Yield the serving groups that are not whole as recorded."""
         for entry in self._entries.values():
             if entry.servable is not entry.group:
                 yield entry.group
 
     def list_whole(self) -> Iterator[Group]:
-        """Yield the groups that are whole as they are on record."""
+        """Yield the serving groups that are whole as recorded."""
         for entry in self._entries.values():
             if entry.servable is entry.group:
                 yield entry.group
 
-    def _follow_groups(self, region: RegionState) -> set[str]:
-        """Take over the groups on record; return those that changed."""
+    def _update_groups(self, region: RegionState) -> set[str]:
+        """Adopt the recorded groups; return the names of changed ones."""
         if region is self._region and region.upto == self._upto:
             return set()
         self._region = region
@@ -160,7 +160,7 @@
         return changed
 
     def _refresh(self, now: float) -> set[str]:
-        """Find the ends of validity anew; return the groups to judge."""
+        """Refresh the expiry times; return the groups to check."""
         self._refresh_at = now + self._presence.limit / REFRESHES_PER_LIMIT
         stale: set[str] = set()
         for name, entry in self._entries.items():
@@ -170,7 +170,7 @@
                 stale.add(name)
         return stale
 
-    def _judge(self, entry: _Entry, now: float) -> None:
+    def _update_entry(self, entry: _Entry, now: float) -> None:
         servable = self._presence.find_servable(entry.group, now)
         entry.servable = servable
         if servable is None:
@@ -184,9 +184,10 @@
             entry.endpoint = endpoint
 
     def _make_endpoint(self, group: Group) -> Endpoint | None:
-        """Return what requests are routed to.
+        """Return the endpoint of a group for requests.
 
-        A group with a leaving host gets none, before the controller drains it.
+        A group with a leaving host has none, even before the controller
+        drains it.
         """
         entries = [self._hosts.get(host) for host in group.hosts]
         leader = entries[0]
@@ -203,8 +204,8 @@
             size=len(group.hosts),
         )
 
-    def _collect(self, now: float) -> bool:
-        """Put the endpoints together; return whether they are others."""
+    def _rebuild_endpoints(self, now: float) -> bool:
+        """Rebuild the endpoints; return whether any of them changed."""
         self._expires_at = min(
             (
                 entry.until
@@ -219,20 +220,20 @@
             if entry.endpoint is not None and now < entry.until
         )
         groups = tuple(timed.endpoint for timed in self.endpoints)
-        changed = groups != self._groups
-        self._groups = groups
+        changed = groups != self._published_groups
+        self._published_groups = groups
         return changed
 
 
 def is_leaving(entry: HostEntry | None) -> bool:
-    """Return whether the host list says that a host is leaving."""
+    """Return whether the host list marks a host as leaving."""
     return entry is not None and entry["leaving"]
 
 
 def count_missing_groups(
     models: Iterable[ModelSpec], serving: Iterable[Endpoint]
 ) -> dict[str, int]:
-    """Return how many wanted groups of each model do not serve."""
+    """Return the number of wanted groups of each model not serving."""
     counts = {spec["name"]: spec["groups"] for spec in models}
     for endpoint in serving:
         if endpoint.model in counts:
@@ -246,7 +247,7 @@
     hosts: Mapping[str, HostEntry],
     now: float,
 ) -> tuple[HostEntry, ...]:
-    """Return the present hosts that are in no group that may serve."""
+    """Return the present hosts that are not in a servable group."""
     serving = {host for group in servable for host in group.hosts}
     return tuple(
         entry
