--- a/chervilrock/decisions/serving/attempts.py
+++ b/chervilrock/decisions/serving/attempts.py
@@ -99,8 +99,8 @@
         return NextStep.FINISH
     has_attempts = progress.sends < max_attempts
     if end is SendOutcome.NOT_RUN:
-        may_retry = may_repeat or not progress.may_have_run
-        return NextStep.RETRY if has_attempts and may_retry else NextStep.GIVE_UP
+        is_retry_safe = may_repeat or not progress.may_have_run
+        return NextStep.RETRY if has_attempts and is_retry_safe else NextStep.GIVE_UP
     if end is SendOutcome.FAILED:
         if may_repeat and has_attempts and is_server_error(status):
             return NextStep.RETRY
--- a/chervilrock/decisions/serving/controller.py
+++ b/chervilrock/decisions/serving/controller.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Mapping
 
 from chervilrock.decisions.serving.adoption import Adoption
-from chervilrock.decisions.serving.census import count_hosts, ModelCount
+from chervilrock.decisions.serving.hostcounts import count_hosts, ModelCount
 from chervilrock.decisions.serving.verification import GroupVerifier, QUERY_INTERVAL_S
 from chervilrock.decisions.serving.effects import Command, Effect, GroupStep
 from chervilrock.decisions.serving.forming import Forming
@@ -101,7 +101,7 @@
 
     def note_server(self, server: BackendServer, now: float) -> None:
         """Record the entry of a server."""
-        if self._is_former_incarnation(server.server, server.born, now):
+        if self._is_former_incarnation(server.server, server.started_ms, now):
             return
         membership = self._registry.hosts.apply_entry(server, now)
         if membership is not None:
@@ -156,7 +156,7 @@
         """Record the state of a server, None when it did not answer."""
         self._registry.dispatcher.finish_query(server)
         if report is not None:
-            if self._is_former_incarnation(server, report.born, now):
+            if self._is_former_incarnation(server, report.started_ms, now):
                 return
             self._apply_report(server, report, now)
         else:
@@ -170,7 +170,7 @@
                 self._apply_closing_report(group, report, now)
 
     def _is_former_incarnation(
-        self, server: str, born: int, now: float
+        self, server: str, started_ms: int, now: float
     ) -> bool:
         """Return whether a message is from an earlier incarnation of a server.
 
@@ -178,7 +178,7 @@
         dissolved without an order to it; if it was the head, the head counts
         as having left.
         """
-        relation = self._registry.hosts.record_incarnation(server, born)
+        relation = self._registry.hosts.record_incarnation(server, started_ms)
         if relation is not IncarnationOrder.NEW:
             return relation is IncarnationOrder.FORMER
         self._planner.forget(server)
@@ -449,7 +449,7 @@
         """
         plan = self._planner.plan(service, engine, now)
         effects: list[Effect] = []
-        for host in plan.unheard:
+        for host in plan.unreported:
             is_answering = self._registry.hosts.is_answering(host.server)
             interval_s = (
                 RESEND_DELAY_S
@@ -487,7 +487,7 @@
     ) -> list[Effect]:
         """Let a host stage a second model if the weight store has capacity."""
         server = self._registry.hosts.find(staging.server)
-        if server is None or not self._planner.take_load(engine, now):
+        if server is None or not self._planner.acquire_load(engine, now):
             return []
         self._planner.note_staging(staging, engine, now)
         return [Command(server, staging.order)]
--- a/chervilrock/decisions/serving/demand.py
+++ b/chervilrock/decisions/serving/demand.py
@@ -63,7 +63,7 @@
         self._fullness: dict[str, float] = {}
         self._overloaded_since: dict[str, float] = {}
 
-    def note(
+    def record(
         self,
         requests: Mapping[str, int],
         capacities: Mapping[str, int],
--- a/chervilrock/decisions/serving/entries.py
+++ b/chervilrock/decisions/serving/entries.py
@@ -61,5 +61,5 @@
 
     A server that does not report its start time may have been restarted.
     """
-    is_same_start = entry.born == known.born and entry.born > 0
+    is_same_start = entry.started_ms == known.started_ms and entry.started_ms > 0
     return is_same_start and entry.writes < known.writes
--- a/chervilrock/decisions/serving/failures.py
+++ b/chervilrock/decisions/serving/failures.py
@@ -27,7 +27,7 @@
 """Factor on this time for each further failure without a success."""
 
 
-class Failures:
+class GroupFailures:
     """Counts the failures of each group since its last success."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
             del self._counts[group]
 
 
-def leave_out(
+def exclude_failing(
     groups: Sequence[Group], is_failing: Callable[[Group], bool]
 ) -> Sequence[Group]:
     """Return the groups that do not fail, or all groups if too many fail."""
--- a/chervilrock/decisions/serving/forming.py
+++ b/chervilrock/decisions/serving/forming.py
@@ -175,7 +175,7 @@
         now: float,
     ) -> list[Effect]:
         """Let a standby host load a model if the weight store has capacity."""
-        if preparation.needs_load and not self._planner.take_load(engine, now):
+        if preparation.needs_load and not self._planner.acquire_load(engine, now):
             return []
         members = (preparation.server,)
         model = preparation.model
@@ -242,4 +242,4 @@
             return JOIN_S
         if warmth is Warmth.ON_HOST:
             return shape.warm_s
-        return self._planner.expect_load(shape)
+        return self._planner.estimate_load_s(shape)
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -87,7 +87,7 @@
         self._reported_at: dict[str, float] = {}
         self._slow_seen_at = float("-inf")
 
-    def record_incarnation(self, server: str, born: int) -> "Life":
+    def record_incarnation(self, server: str, started_ms: int) -> "Life":
         """Record the incarnation in a message and compare it to the known one.
 
         A server that restarts under its identifier has no state, so its record
@@ -97,13 +97,13 @@
         """
         known = self._born.get(server, 0)
         if not known:
-            self._born[server] = born
-        if not known or born in (known, 0):
+            self._born[server] = started_ms
+        if not known or started_ms in (known, 0):
             # A message without an incarnation does not contradict it.
             return IncarnationOrder.SAME
-        if born < known:
+        if started_ms < known:
             return IncarnationOrder.FORMER
-        self._born[server] = born
+        self._born[server] = started_ms
         self._forget(server)
         return IncarnationOrder.NEW
 
--- a/chervilrock/decisions/serving/lateness.py
+++ b/chervilrock/decisions/serving/lateness.py
@@ -13,7 +13,7 @@
 import statistics
 
 
-class Standing(enum.IntEnum):
+class Timeliness(enum.IntEnum):
     """Timeliness of a request; smaller values have precedence.
 
     Attributes:
@@ -29,13 +29,13 @@
     LATE = 2
 
 
-def judge_standing(
+def judge_timeliness(
     *,
     has_begun: bool,
     waited_s: float,
     target_s: float,
     first_event_s: float = 0.0,
-) -> Standing:
+) -> Timeliness:
     """Return the timeliness of a request.
 
     Args:
@@ -46,9 +46,9 @@
       first_event_s: expected time from the send to the first event, in seconds.
     """
     if has_begun:
-        return Standing.BEGUN
+        return Timeliness.BEGUN
     is_on_time = waited_s + first_event_s < target_s
-    return Standing.ON_TIME if is_on_time else Standing.LATE
+    return Timeliness.ON_TIME if is_on_time else Timeliness.LATE
 
 
 MAX_KEPT_LIMITS = 64
@@ -76,7 +76,7 @@
         """Create a registry without time limits."""
         self._limits: dict[str, deque[float]] = {}
 
-    def note(self, route: str, limit_s: float) -> None:
+    def record(self, route: str, limit_s: float) -> None:
         """Record the time limit of a request, in seconds."""
         limits = self._limits.setdefault(route, deque(maxlen=MAX_KEPT_LIMITS))
         limits.append(limit_s)
--- a/chervilrock/decisions/serving/orders.py
+++ b/chervilrock/decisions/serving/orders.py
@@ -99,4 +99,4 @@
     running: int
     waiting: int
     pace: float
-    born: int = 0
+    started_ms: int = 0
--- a/chervilrock/decisions/serving/placement.py
+++ b/chervilrock/decisions/serving/placement.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Generic, NamedTuple, TYPE_CHECKING, TypeVar
 
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.shares import NO_LIMIT
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
 
@@ -55,7 +55,7 @@
     own: int
     others: int
     slots: int
-    is_doubtful: bool
+    is_deprioritized: bool
     own_limit: float = NO_LIMIT
 
     @property
@@ -113,7 +113,7 @@
         )
         is_over_share = load.own >= load.own_limit
         share_penalty = OVER_SHARE_PENALTY if is_over_share else 0.0
-        return load.is_doubtful, fullness + distance_penalty + share_penalty
+        return load.is_deprioritized, fullness + distance_penalty + share_penalty
 
     return min(sample, key=sort_key)
 
@@ -127,7 +127,7 @@
 
     If all choices are deprioritized, the sample is drawn from them.
     """
-    preferred = [choice for choice in choices if not choice.load.is_doubtful]
+    preferred = [choice for choice in choices if not choice.load.is_deprioritized]
     pool = preferred or choices
     return generator.sample(pool, min(sample_size, len(pool)))
 
@@ -188,11 +188,11 @@
 
 
 def find_group_bound(
-    standing: Standing,
+    timeliness: Timeliness,
     nodes: int,
     *,
     waited_s: float = 0.0,
-    is_short: bool = False,
+    has_shortage: bool = False,
 ) -> Bound:
     """Return how full a group may be to get a request.
 
@@ -205,11 +205,11 @@
       waited_s: time for which it has waited at this node, in seconds.
       has_shortage: whether requests that could be on time get no slots.
     """
-    if standing is Standing.BEGUN:
+    if timeliness is Timeliness.BEGUN:
         return BEGUN_BOUND
-    if standing is Standing.ON_TIME:
-        return WAITING_BOUND if is_short or waited_s > 0 else GROUP_BOUND
-    if waited_s >= LATE_PATIENCE_S and not is_short:
+    if timeliness is Timeliness.ON_TIME:
+        return WAITING_BOUND if has_shortage or waited_s > 0 else GROUP_BOUND
+    if waited_s >= LATE_PATIENCE_S and not has_shortage:
         return WAITING_BOUND
     return Bound(
         total=LATE_FRACTION,
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -27,7 +27,7 @@
     MemberState,
     ModelShape,
 )
-from chervilrock.decisions.serving.staging import HostWeights, StagingBook
+from chervilrock.decisions.serving.staging import HostWeights, StagingTracker
 
 REGISTRATION_SETTLE_S = 1.0
 """Time without a new server after which the first plan is made: servers
@@ -70,7 +70,7 @@
       stagings: hosts that should stage a second model.
     """
 
-    unheard: tuple[BackendServer, ...] = ()
+    unreported: tuple[BackendServer, ...] = ()
     formations: tuple[Formation, ...] = ()
     preparations: tuple[Preparation, ...] = ()
     moves: tuple[Move, ...] = ()
@@ -101,7 +101,7 @@
         self._registry = registry
         self._hosts = registry.hosts
         self._groups = registry.groups
-        self._stagings = StagingBook()
+        self._stagings = StagingTracker()
         self._last_load: float | None = None
         self._query_times: dict[str, float] = {}
         self._demands: dict[str, Demand] = {}
@@ -126,18 +126,18 @@
         placed: list[DomainHosts] = []
         for domain, hosts in sorted(domains.items()):
             free = self._list_free(hosts, occupied, standby)
-            unheard = [
+            unreported = [
                 host.server
                 for host in free
                 if not self._hosts.has_reported(host.server)
             ]
-            queried += unheard
-            reported = [host for host in free if host.server not in unheard]
+            queried += unreported
+            reported = [host for host in free if host.server not in unreported]
             placed.append(
                 DomainHosts(
                     domain=domain,
                     free=()
-                    if self._should_wait_for(unheard, now)
+                    if self._should_wait_for(unreported, now)
                     else tuple(reported),
                     groups=self._list_active_groups(
                         groups.get(domain, ()), now
@@ -151,14 +151,14 @@
         if not self.has_traffic and self._should_wait_for(queried, now):
             # Plan all domains together: a domain that is planned before the
             # others have reported gets more groups than its share.
-            return Plan(unheard=servers)
+            return Plan(unreported=servers)
         total = sum(len(hosts) for hosts in domains.values())
         needs = self._get_demand(service).find_needs(
             engine, _count_groups(placed), total, now
         )
         plan = self._plan_groups(service, engine, placed, needs, now)
         return plan._replace(
-            unheard=(*servers, *plan.unheard),
+            unreported=(*servers, *plan.unreported),
             stagings=self._choose_stagings(engine, domains, placed, needs, now),
         )
 
@@ -192,7 +192,7 @@
                 is_limited = group.head in limited
                 running[group.model] += count
                 capacities[group.model] += count if is_limited else engine.slots
-        self._get_demand(service).note(running, capacities, now)
+        self._get_demand(service).record(running, capacities, now)
 
     def find_needs(
         self, service: str, engine: EngineProfile, now: float
@@ -215,7 +215,7 @@
         """Return the recent demand of a service."""
         return self._demands.setdefault(service, Demand())
 
-    def take_load(self, engine: EngineProfile, now: float) -> bool:
+    def acquire_load(self, engine: EngineProfile, now: float) -> bool:
         """Return whether the weight store can serve one more load now.
 
         If so, the load is counted as started.
@@ -236,7 +236,7 @@
         self._last_load = now
         return True
 
-    def expect_load(self, shape: ModelShape) -> float:
+    def estimate_load_s(self, shape: ModelShape) -> float:
         """Return the expected duration of a load now, in seconds."""
         factor = 1.0 if self.has_traffic else WARM_UP_FACTOR
         return factor * shape.load_s
@@ -246,7 +246,7 @@
     ) -> None:
         """Record that a host was ordered to stage a model."""
         model = staging.order.model
-        load_s = self.expect_load(engine.models[model])
+        load_s = self.estimate_load_s(engine.models[model])
         self._stagings.note_ordered(staging.server, model, load_s, now)
 
     def note_staging_reply(
@@ -279,19 +279,19 @@
             reservation = _Reservation(move.model, now + MOVE_TIMEOUT_S)
             self._reservations[service, move.domain] = reservation
         formations = []
-        unheard: list[BackendServer] = []
+        unreported: list[BackendServer] = []
         for formation in planned.formations:
             stale = [
                 self._hosts.servers[server]
                 for server in formation.members
                 if self._hosts.may_be_slow(server, now)
             ]
-            unheard += stale
+            unreported += stale
             if not stale:
                 formations.append(formation)
                 self._end_reservation(service, formation, now)
         return Plan(
-            unheard=tuple(unheard),
+            unreported=tuple(unreported),
             formations=tuple(formations),
             preparations=planned.preparations,
             moves=planned.moves,
@@ -362,14 +362,14 @@
             is_standby=is_standby,
         )
 
-    def _should_wait_for(self, unheard: Iterable[str], now: float) -> bool:
+    def _should_wait_for(self, unreported: Iterable[str], now: float) -> bool:
         """Return whether a domain should wait for hosts that have not reported.
 
         A host that was queried a moment ago may complete a group; a host that
         does not answer must not delay the others of its domain.
         """
         waits = False
-        for server in unheard:
+        for server in unreported:
             since = self._query_times.setdefault(server, now)
             is_new = now - since < REPORT_WAIT_S
             waits = waits or (is_new and self._hosts.is_answering(server))
--- a/chervilrock/decisions/serving/shortage.py
+++ b/chervilrock/decisions/serving/shortage.py
@@ -21,11 +21,11 @@
 
     def note_missed(self, model: str, now: float) -> None:
         """Record that a request got no slot while it could be on time."""
-        if not self.is_short(model, now):
+        if not self.has_shortage(model, now):
             self._started_at[model] = now
         self._last_missed[model] = now
 
-    def is_short(self, model: str, now: float) -> bool:
+    def has_shortage(self, model: str, now: float) -> bool:
         """Return whether a model has a shortage of slots."""
         last = self._last_missed.get(model)
         return last is not None and now - last <= RECOVERY_S
@@ -33,11 +33,11 @@
     def list_short(self, now: float) -> tuple[str, ...]:
         """Return the models that have a shortage of slots."""
         return tuple(
-            model for model in self._last_missed if self.is_short(model, now)
+            model for model in self._last_missed if self.has_shortage(model, now)
         )
 
     def find_duration(self, model: str, now: float) -> float:
         """Return for how long a model has had a shortage, in seconds."""
-        if not self.is_short(model, now):
+        if not self.has_shortage(model, now):
             return 0.0
         return now - self._started_at[model]
--- a/chervilrock/decisions/serving/site.py
+++ b/chervilrock/decisions/serving/site.py
@@ -223,5 +223,5 @@
     slots: int
     staged: tuple[str, ...]
     membership: Membership | None
-    born: int = 0
+    started_ms: int = 0
     writes: int = 0
--- a/chervilrock/decisions/serving/staging.py
+++ b/chervilrock/decisions/serving/staging.py
@@ -76,7 +76,7 @@
     return min(missing, key=lambda name: sort_keys.get(name, 0.0), default="")
 
 
-class StagingBook:
+class StagingTracker:
     """Tracks orders to stage that are in progress."""
 
     def __init__(self) -> None:
--- a/chervilrock/decisions/serving/waiting.py
+++ b/chervilrock/decisions/serving/waiting.py
@@ -12,7 +12,7 @@
 import math
 from typing import NamedTuple
 
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 
 REPAIR_S = 1.5
 """Usual time until a lost group serves again: the loss is detected after 0.4 s,
@@ -98,7 +98,7 @@
       gives_up_s: seconds after which its caller gives up without an event.
     """
 
-    standing: Standing
+    timeliness: Timeliness
     limit_s: float
     on_time_s: float
     gives_up_s: float
@@ -130,14 +130,14 @@
         return WaitDecision(0.0, REPAIR_S)
     if not _can_wait_for_limit(request, availability):
         return WaitDecision(0.0, _find_limited_retry_after(availability, draw))
-    if request.standing is Standing.BEGUN:
+    if request.timeliness is Timeliness.BEGUN:
         return WaitDecision(
             min(MAX_BEGUN_WAIT_S, request.limit_s), RETRY_AFTER_S
         )
     max_wait_s = max(
         0.0, min(LATE_WAIT_FRACTION * request.limit_s, request.gives_up_s)
     )
-    if request.standing is Standing.ON_TIME:
+    if request.timeliness is Timeliness.ON_TIME:
         wait_s = REPAIR_S
         if availability.has_endpoints:
             wait_s = max(MIN_WAIT_S, request.on_time_s)
@@ -158,10 +158,10 @@
     """
     if not availability.limit_wait_s:
         return True
-    if request.standing is Standing.BEGUN:
+    if request.timeliness is Timeliness.BEGUN:
         return availability.limit_wait_s <= min(MAX_BEGUN_WAIT_S, request.limit_s)
     is_in_time = availability.limit_wait_s <= request.on_time_s
-    return request.standing is Standing.ON_TIME and is_in_time
+    return request.timeliness is Timeliness.ON_TIME and is_in_time
 
 
 def _find_limited_retry_after(availability: Availability, draw: float) -> float:
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -11,7 +11,7 @@
     Progress,
     SendOutcome,
 )
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.messages import AnswerFacts, Onward
 from chervilrock.decisions.serving.routes import (
     Admission,
@@ -399,10 +399,10 @@
         Streams that were cut go first, and of requests of the same priority
         those that can be on time.
         """
-        standing = self._search.judge_standing(read_clock())
-        if standing is Standing.BEGUN:
+        timeliness = self._search.judge_timeliness(read_clock())
+        if timeliness is Timeliness.BEGUN:
             return 0
-        is_late = standing is Standing.LATE
+        is_late = timeliness is Timeliness.LATE
         return min(LEAST_URGENT, 1 + 2 * admission.priority + is_late)
 
     def _note_progress(self, endpoint: Endpoint) -> None:
--- a/chervilrock/edges/serving/places.py
+++ b/chervilrock/edges/serving/places.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from chervilrock.decisions.serving.lateness import judge_standing, Standing
+from chervilrock.decisions.serving.lateness import judge_timeliness, Timeliness
 from chervilrock.decisions.serving.placement import (
     Bound,
     Choice,
@@ -98,11 +98,11 @@
         self._expires = expires
         self._waited_before_s = self._estimate_wait(admission)
 
-    def judge_standing(self, now: float) -> Standing:
+    def judge_timeliness(self, now: float) -> Timeliness:
         """Return how the request stands."""
         if self._admission is None:
-            return Standing.ON_TIME
-        return judge_standing(
+            return Timeliness.ON_TIME
+        return judge_timeliness(
             has_begun=self._connection.has_begun,
             waited_s=self._waited_before_s + now - self._request.arrived,
             target_s=self._admission.route.target_s,
@@ -118,10 +118,10 @@
         """
         while not self._try_place():
             now = read_clock()
-            standing = self.judge_standing(now)
+            timeliness = self.judge_timeliness(now)
             prospect = self._find_prospect(now)
             patience = decide_wait(
-                self._describe_wait(admission, standing, now),
+                self._describe_wait(admission, timeliness, now),
                 prospect,
                 self._state.generator.random(),
             )
@@ -131,10 +131,10 @@
             )
             if patience.wait_s <= 0:
                 return refusal
-            await self._wait(admission, standing, now + patience.wait_s)
+            await self._wait(admission, timeliness, now + patience.wait_s)
             if self.is_over or self.place is not None or self._try_place():
                 return None
-            if standing is not Standing.ON_TIME:
+            if timeliness is not Timeliness.ON_TIME:
                 return refusal
             self._state.shortages.note_missed(
                 self._request.facts.model, read_clock()
@@ -164,7 +164,7 @@
             GROUP_BOUND,
             now,
         )
-        return choice is not None and not choice.load.is_doubtful
+        return choice is not None and not choice.load.is_deprioritized
 
     def _estimate_wait(self, admission: Admission) -> float:
         """Return how long the caller has waited before it came here."""
@@ -174,7 +174,7 @@
         route = admission.route
         usual = self._state.usual_limits
         waited_s = usual.estimate_wait(route.name, limit_s, route.timeout_s)
-        usual.note(route.name, limit_s)
+        usual.record(route.name, limit_s)
         return waited_s
 
     def _expect_first_event(self, admission: Admission) -> float:
@@ -215,10 +215,10 @@
         """Return how full a group may be that gets the request."""
         waited_s = now - self._request.arrived if self._is_waiting else 0.0
         return find_group_bound(
-            self.judge_standing(now),
+            self.judge_timeliness(now),
             self._state.count_nodes(),
             waited_s=waited_s,
-            is_short=self._state.shortages.is_short(
+            has_shortage=self._state.shortages.has_shortage(
                 self._request.facts.model, now
             ),
         )
@@ -239,7 +239,7 @@
         )
 
     def _describe_wait(
-        self, admission: Admission, standing: Standing, now: float
+        self, admission: Admission, timeliness: Timeliness, now: float
     ) -> WaitingRequest:
         """Return what is known of the request while it has no place."""
         route = admission.route
@@ -251,14 +251,14 @@
             gives_up_s -= waited_s + first_s + DELIVERY_MARGIN_S
         waited_in_all_s = waited_s + self._waited_before_s
         return WaitingRequest(
-            standing=standing,
+            timeliness=timeliness,
             limit_s=self._expires - now,
             on_time_s=route.target_s - first_s - waited_in_all_s,
             gives_up_s=gives_up_s,
         )
 
     async def _wait(
-        self, admission: Admission, standing: Standing, until: float
+        self, admission: Admission, timeliness: Timeliness, until: float
     ) -> None:
         """Wait for a place; of those that can be on time the newest goes first.
 
@@ -268,10 +268,10 @@
         self._is_waiting = True
         now = read_clock()
         arrived = self._request.arrived
-        turn = -arrived if standing is Standing.ON_TIME else arrived
+        turn = -arrived if timeliness is Timeliness.ON_TIME else arrived
         await self._waitqueue.wait(
             self._try_place,
-            rank=(admission.priority, int(standing), turn),
+            rank=(admission.priority, int(timeliness), turn),
             until=until,
         )
         self.waited_s += read_clock() - now
--- a/chervilrock/serving_metrics.py
+++ b/chervilrock/serving_metrics.py
@@ -6,7 +6,7 @@
 import prometheus_client
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-from chervilrock.decisions.serving.census import ModelCount
+from chervilrock.decisions.serving.hostcounts import ModelCount
 from chervilrock.metrics import (
     FIRST_TOKEN_BUCKETS,
     LabelValues,
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -7,7 +7,7 @@
 from returns.result import Failure
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.census import INTERVAL_S, ModelCount
+from chervilrock.decisions.serving.hostcounts import INTERVAL_S, ModelCount
 from chervilrock.decisions.serving.controller import Controller
 from chervilrock.decisions.serving.effects import (
     Command,
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.census import ModelCount
+from chervilrock.decisions.serving.hostcounts import ModelCount
 from chervilrock.decisions.serving.entries import NewestEntries
 from chervilrock.decisions.serving.leadership import (
     Claim,
--- a/chervilrock/tasks/serving/state.py
+++ b/chervilrock/tasks/serving/state.py
@@ -9,7 +9,7 @@
 
 from chervilrock.decisions.serving import placement
 from chervilrock.decisions.serving.activenodes import ActiveNodes
-from chervilrock.decisions.serving.failures import Failures, leave_out
+from chervilrock.decisions.serving.failures import GroupFailures, exclude_failing
 from chervilrock.decisions.serving.firstevents import FirstEventTimes
 from chervilrock.decisions.serving.lateness import UsualLimits
 from chervilrock.decisions.serving.messages import StatedLimit
@@ -108,7 +108,7 @@
         self._own_loads: dict[str, int] = {}
         self._other_loads: Mapping[str, int] = {}
         self._avoided_until: dict[str, float] = {}
-        self._failures = Failures()
+        self._failures = GroupFailures()
         self._failing_until: dict[str, float] = {}
         self._active_nodes = ActiveNodes()
         self._shares = SlotShares(generator=generator)
@@ -208,7 +208,7 @@
         """
         engine = self.find_engine(service)
         slots = 1 if engine is None else engine.slots
-        groups = leave_out(
+        groups = exclude_failing(
             self._list_permitted(self.list_groups(service, model), now),
             lambda group: self.is_failing(group.group, now),
         )
@@ -440,5 +440,5 @@
             own=self._own_loads.get(server, 0),
             others=self._other_loads.get(server, 0),
             slots=max(1, slots),
-            is_doubtful=self.is_avoided(endpoint, now),
+            is_deprioritized=self.is_avoided(endpoint, now),
         )
--- a/test/decisions/serving/fleet.py
+++ b/test/decisions/serving/fleet.py
@@ -93,7 +93,7 @@
         self.highest_epoch = -1
         self.obeyed = 0
         self.time_factor = 1.0
-        self.born = 1
+        self.started_ms = 1
         self.is_dead = False
         self.is_unreachable = False
         self.is_leaving = False
@@ -154,7 +154,7 @@
     def restart(self, name: str) -> None:
         """Restart a server under its name; its host keeps staged weights."""
         server = self.servers[name]
-        server.born += 1
+        server.started_ms += 1
         server.last_model = ""
         server.membership = None
         server.members = ()
@@ -209,7 +209,7 @@
             slots=13,
             staged=server.staged,
             membership=server.membership,
-            born=server.born,
+            started_ms=server.started_ms,
         )
 
     def obey(self, name: str, order: Order) -> OrderReply:
@@ -383,7 +383,7 @@
                 0,
                 0,
                 server.time_factor,
-                server.born,
+                server.started_ms,
             )
         self.controller.note_report(name, report, self.now)
 
--- a/test/decisions/serving/test_controller.py
+++ b/test/decisions/serving/test_controller.py
@@ -16,7 +16,7 @@
 )
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.census import HostState
+from chervilrock.decisions.serving.hostcounts import HostState
 from chervilrock.decisions.serving.groups import ManagedGroup
 from chervilrock.decisions.serving.hosts import HostRegistry, IncarnationOrder
 from chervilrock.decisions.serving.orders import (
@@ -411,7 +411,7 @@
 def test_incarnations_of_a_server_are_ordered() -> None:
     hosts = HostRegistry()
     relations = [
-        hosts.record_incarnation("h", born) for born in (0, 5, 5, 0, 5, 7, 5, 7)
+        hosts.record_incarnation("h", started_ms) for started_ms in (0, 5, 5, 0, 5, 7, 5, 7)
     ]
     same, new, former = IncarnationOrder.SAME, IncarnationOrder.NEW, IncarnationOrder.FORMER
     assert_that(
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -15,7 +15,7 @@
     Progress,
     SendOutcome,
 )
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.leadership import (
     Claim,
     CLAIM_STAGGER_S,
@@ -413,7 +413,7 @@
 def test_a_request_waits_only_for_a_slot_that_may_become_available(
     has_endpoints: bool, is_forming: bool, shortest: float, longest: float
 ) -> None:
-    wait = WaitingRequest(Standing.ON_TIME, limit_s=6.0, on_time_s=0.25, gives_up_s=1.8)
+    wait = WaitingRequest(Timeliness.ON_TIME, limit_s=6.0, on_time_s=0.25, gives_up_s=1.8)
     prospect = Availability(has_endpoints=has_endpoints, is_forming=is_forming)
     patience = decide_wait(wait, prospect, draw=0.5)
     assert_that(patience.wait_s >= shortest, Is(True))
--- a/test/decisions/serving/test_demand.py
+++ b/test/decisions/serving/test_demand.py
@@ -20,7 +20,7 @@
     for step in range(round(seconds / 0.05)):
         capacities = {"large": groups * ENGINE.slots, "small": 6 * ENGINE.slots}
         requests = {"large": large, "small": 20}
-        demand.note(requests, capacities, start + step * 0.05)
+        demand.record(requests, capacities, start + step * 0.05)
     return start + seconds
 
 
@@ -98,5 +98,5 @@
     now = 0.0
     for step in range(400):
         now = 0.05 * step
-        demand.note({"large": 4, "small": 20}, {"large": 4, "small": 78}, now)
+        demand.record({"large": 4, "small": 20}, {"large": 4, "small": 78}, now)
     assert_that(find_need(demand, 6, now), GreaterThan(6.9))
--- a/test/decisions/serving/test_entries.py
+++ b/test/decisions/serving/test_entries.py
@@ -9,7 +9,7 @@
 from chervilrock.decisions.serving.terms import make_term, OFFSETS_PER_ERA
 
 
-def make_entry(writes: int, *, born: int = 7, is_leaving: bool = False):
+def make_entry(writes: int, *, started_ms: int = 7, is_leaving: bool = False):
     return BackendServer(
         server="i-1",
         service="desk",
@@ -20,7 +20,7 @@
         slots=4,
         staged=(),
         membership=None,
-        born=born,
+        started_ms=started_ms,
         writes=writes,
     )
 
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize(
     "entry",
-    [make_entry(6), make_entry(1, born=8), make_entry(1, born=0)],
+    [make_entry(6), make_entry(1, started_ms=8), make_entry(1, started_ms=0)],
     ids=["written again", "started again", "does not report its start"],
 )
 def test_an_entry_that_may_be_newer_replaces_the_known_one(
--- a/test/decisions/serving/test_failures.py
+++ b/test/decisions/serving/test_failures.py
@@ -14,9 +14,9 @@
 
 from chervilrock.decisions.serving.failures import (
     BACKOFF_FACTOR,
-    Failures,
+    GroupFailures,
     FIRST_AVOIDANCE_S,
-    leave_out,
+    exclude_failing,
     MAX_AVOIDANCE_S,
 )
 from chervilrock.decisions.serving.placement import choose, GROUP_BOUND, Load
@@ -38,7 +38,7 @@
         for n in range(GROUPS)
     ]
     generator = random.Random(4)
-    failures = Failures()
+    failures = GroupFailures()
     avoided: dict[str, float] = {}
     running: list[tuple[float, str]] = []
     sends = failed = 0
@@ -81,7 +81,7 @@
 
 
 def test_the_time_of_avoidance_grows_up_to_a_limit() -> None:
-    failures = Failures()
+    failures = GroupFailures()
     times = [failures.note_failure("g") for _ in range(12)]
     assert_that(
         times[:2],
@@ -91,7 +91,7 @@
 
 
 def test_a_success_resets_the_failures() -> None:
-    failures = Failures()
+    failures = GroupFailures()
     for _ in range(5):
         failures.note_failure("g")
     failures.note_success("g")
@@ -99,7 +99,7 @@
 
 
 def test_failures_of_removed_groups_are_forgotten() -> None:
-    failures = Failures()
+    failures = GroupFailures()
     for name in ("g", "h"):
         failures.note_failure(name)
     failures.keep_only(frozenset({"h"}))
@@ -113,7 +113,7 @@
     failing: str, left: str
 ) -> None:
     # Requests that fail at all groups must not exclude any group.
-    kept = leave_out("abcd", lambda group: group in failing)
+    kept = exclude_failing("abcd", lambda group: group in failing)
     assert_that("".join(kept), Equals(left))
 
 
@@ -125,7 +125,7 @@
         for n in range(3)
     ]
     choice = choose(
-        leave_out(groups, lambda group: group.group == "g0"),
+        exclude_failing(groups, lambda group: group.group == "g0"),
         lambda group: empty if group.group == "g0" else full,
         data_centre="d",
         avoided=frozenset(),
--- a/test/decisions/serving/test_lateness.py
+++ b/test/decisions/serving/test_lateness.py
@@ -7,8 +7,8 @@
 from testtools.matchers import Equals, Is
 
 from chervilrock.decisions.serving.lateness import (
-    judge_standing,
-    Standing,
+    judge_timeliness,
+    Timeliness,
     UsualLimits,
 )
 from chervilrock.decisions.serving.placement import (
@@ -31,15 +31,15 @@
 @pytest.mark.parametrize(
     ("has_begun", "waited_s", "expected"),
     [
-        (False, 0.1, Standing.ON_TIME),
-        (False, 0.3, Standing.LATE),
-        (True, 3.0, Standing.BEGUN),
+        (False, 0.1, Timeliness.ON_TIME),
+        (False, 0.3, Timeliness.LATE),
+        (True, 3.0, Timeliness.BEGUN),
     ],
 )
 def test_timeliness_depends_on_events_and_time_waited(
-    has_begun: bool, waited_s: float, expected: Standing
+    has_begun: bool, waited_s: float, expected: Timeliness
 ) -> None:
-    judged = judge_standing(
+    judged = judge_timeliness(
         has_begun=has_begun, waited_s=waited_s, target_s=0.3
     )
     assert_that(judged, Is(expected))
@@ -49,7 +49,7 @@
 def test_first_attempts_have_no_previous_wait(known: int) -> None:
     usual = UsualLimits()
     for limit_s in make_limits(known):
-        usual.note("r", limit_s)
+        usual.record("r", limit_s)
     waits = [
         usual.estimate_wait("r", limit_s, LIMIT_S)
         for limit_s in make_limits(300)
@@ -72,43 +72,43 @@
 def test_limits_of_one_route_do_not_affect_another() -> None:
     usual = UsualLimits()
     for _ in range(64):
-        usual.note("long", 60.0)
+        usual.record("long", 60.0)
     assert_that(usual.estimate_wait("short", 5.5, LIMIT_S), Equals(0.0))
 
 
 def test_an_interrupted_stream_may_exceed_the_bound_of_new_requests() -> None:
     # All slots of the groups of a model are busy.
-    full = Load(own=2, others=7, slots=9, is_doubtful=False)
-    cut = find_group_bound(Standing.BEGUN, nodes=7)
+    full = Load(own=2, others=7, slots=9, is_deprioritized=False)
+    cut = find_group_bound(Timeliness.BEGUN, nodes=7)
     assert_that(cut == BEGUN_BOUND, Is(True))
     assert_that(cut.allows(full), Is(True))
     assert_that(GROUP_BOUND.allows(full), Is(False))
 
 
 def test_a_late_request_gets_any_free_slot_after_a_while() -> None:
-    filled = Load(own=0, others=8, slots=9, is_doubtful=False)
-    early = find_group_bound(Standing.LATE, nodes=7)
-    later = find_group_bound(Standing.LATE, nodes=7, waited_s=LATE_PATIENCE_S)
+    filled = Load(own=0, others=8, slots=9, is_deprioritized=False)
+    early = find_group_bound(Timeliness.LATE, nodes=7)
+    later = find_group_bound(Timeliness.LATE, nodes=7, waited_s=LATE_PATIENCE_S)
     assert_that(early.allows(filled), Is(False))
     assert_that(later.allows(filled), Is(True))
 
 
 def test_a_late_request_gets_no_slot_during_a_shortage() -> None:
-    filled = Load(own=0, others=8, slots=9, is_doubtful=False)
+    filled = Load(own=0, others=8, slots=9, is_deprioritized=False)
     bound = find_group_bound(
-        Standing.LATE, nodes=7, waited_s=5.0, is_short=True
+        Timeliness.LATE, nodes=7, waited_s=5.0, has_shortage=True
     )
     assert_that(bound.allows(filled), Is(False))
 
 
 def test_a_request_is_late_when_its_first_event_cannot_be_in_time() -> None:
-    def judge(first_event_s: float) -> Standing:
-        return judge_standing(
+    def judge(first_event_s: float) -> Timeliness:
+        return judge_timeliness(
             has_begun=False,
             waited_s=0.1,
             target_s=0.3,
             first_event_s=first_event_s,
         )
 
-    assert_that(judge(0.15), Is(Standing.ON_TIME))
-    assert_that(judge(0.25), Is(Standing.LATE))
+    assert_that(judge(0.15), Is(Timeliness.ON_TIME))
+    assert_that(judge(0.25), Is(Timeliness.LATE))
--- a/test/decisions/serving/test_placement.py
+++ b/test/decisions/serving/test_placement.py
@@ -8,7 +8,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import GreaterThan, Is, LessThan
 
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.placement import (
     Bound,
     choose,
@@ -120,8 +120,8 @@
 
 
 def test_only_late_requests_are_limited_to_the_share_of_a_node() -> None:
-    fresh = find_group_bound(Standing.ON_TIME, nodes=9)
-    late = find_group_bound(Standing.LATE, nodes=9)
+    fresh = find_group_bound(Timeliness.ON_TIME, nodes=9)
+    late = find_group_bound(Timeliness.LATE, nodes=9)
     assert_that(fresh == GROUP_BOUND, Is(True))
     idle = Load(0, 0, SLOTS, False)
     assert_that(late.allows(idle), Is(True))
--- a/test/decisions/serving/test_planning.py
+++ b/test/decisions/serving/test_planning.py
@@ -29,7 +29,7 @@
         now = 0.05 * step
         if step % 6 == 0:
             planner = make_planner()
-        if planner.take_load(engine, now):
+        if planner.acquire_load(engine, now):
             loads.append(now)
     most = max(
         (sum(end - 5.0 < start <= end for start in loads) for end in loads),
--- a/test/decisions/serving/test_staging.py
+++ b/test/decisions/serving/test_staging.py
@@ -9,7 +9,7 @@
     HostWeights,
     LOAD_TIME_MARGIN,
     RETRY_S,
-    StagingBook,
+    StagingTracker,
 )
 from test.decisions.serving.fleet import ENGINE, Fleet
 
@@ -64,7 +64,7 @@
 
 
 def test_an_order_is_not_sent_again_while_its_load_may_be_in_progress() -> None:
-    tracker = StagingBook()
+    tracker = StagingTracker()
     hosts = [make_host("small", "small")]
     assert_that(tracker.choose(hosts, ENGINE, NO_SORT_KEYS, 0.0), HasLength(1))
     tracker.note_ordered("h", "large", LOAD_S, 0.0)
@@ -79,7 +79,7 @@
 
 
 def test_a_rejected_order_counts_as_no_load_and_is_sent_again() -> None:
-    tracker = StagingBook()
+    tracker = StagingTracker()
     hosts = [make_host("small", "small")]
     tracker.note_ordered("h", "large", LOAD_S, 0.0)
     tracker.note_reply("h", Stage("large"), OrderReply.CONFLICT, 0.1)
@@ -89,7 +89,7 @@
 
 
 def test_a_restarted_server_gets_its_order_again() -> None:
-    tracker = StagingBook()
+    tracker = StagingTracker()
     hosts = [make_host("small", "small")]
     tracker.note_ordered("h", "large", LOAD_S, 0.0)
     tracker.forget("h")
--- a/test/decisions/serving/test_waiting.py
+++ b/test/decisions/serving/test_waiting.py
@@ -6,7 +6,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.waiting import (
     decide_wait,
     find_give_up,
@@ -20,8 +20,8 @@
 
 FULL = Availability(has_endpoints=True, is_forming=False)
 SHORTAGE = FULL._replace(shortage_s=2.0 * REPAIR_S)
-NEW = WaitingRequest(Standing.ON_TIME, limit_s=4.0, on_time_s=0.15, gives_up_s=1.7)
-LATE = NEW._replace(standing=Standing.LATE, on_time_s=-0.1)
+NEW = WaitingRequest(Timeliness.ON_TIME, limit_s=4.0, on_time_s=0.15, gives_up_s=1.7)
+LATE = NEW._replace(timeliness=Timeliness.LATE, on_time_s=-0.1)
 
 
 def decide(
@@ -37,14 +37,14 @@
 def test_a_late_request_waits_longer_than_a_new_one() -> None:
     late = decide(LATE, FULL).wait_s
     assert_that(late, GreaterThan(decide(NEW, FULL).wait_s))
-    begun = decide(NEW._replace(standing=Standing.BEGUN), FULL)
+    begun = decide(NEW._replace(timeliness=Timeliness.BEGUN), FULL)
     assert_that(begun.wait_s, GreaterThan(1.0))
 
 
-@pytest.mark.parametrize("standing", Standing)
-def test_nothing_waits_for_a_model_that_no_group_will_serve(standing) -> None:
+@pytest.mark.parametrize("standing", Timeliness)
+def test_nothing_waits_for_a_model_that_no_group_will_serve(timeliness) -> None:
     nothing = Availability(has_endpoints=False, is_forming=False)
-    request = NEW._replace(standing=standing)
+    request = NEW._replace(timeliness=timeliness)
     assert_that(decide(request, nothing).wait_s, Equals(0.0))
 
 
@@ -97,16 +97,16 @@
 
 def test_a_request_waits_for_limited_servers_that_allow_it_in_time() -> None:
     assert_that(decide(NEW, SOON), Equals(decide(NEW, FULL)))
-    begun = NEW._replace(standing=Standing.BEGUN)
+    begun = NEW._replace(timeliness=Timeliness.BEGUN)
     later = FULL._replace(limit_wait_s=1.0)
     assert_that(decide(begun, later), Equals(decide(begun, FULL)))
 
 
-@pytest.mark.parametrize("standing", Standing)
+@pytest.mark.parametrize("standing", Timeliness)
 def test_no_request_waits_for_servers_that_this_node_may_not_use(
-    standing,
+    timeliness,
 ) -> None:
-    decision = decide(NEW._replace(standing=standing), NEVER)
+    decision = decide(NEW._replace(timeliness=timeliness), NEVER)
     assert_that(decision.wait_s, Equals(0.0))
     assert_that(decision.retry_after_s, GreaterThan(0.0))
 
