--- a/bench/entry_model.py
+++ b/bench/entry_model.py
@@ -339,9 +339,9 @@
         request.hedge = 0
         request.first_s = None
         admission = self.admissions[request.arrival.node]
-        may_repeat = not ran or request.view.idempotent
+        may_retry = not ran or request.view.idempotent
         if (
-            may_repeat
+            may_retry
             and len(request.tried) < MAX_ATTEMPTS
             and admission.allow_retry(request.view, self.now)
         ):
--- a/chervilrock/decisions/serving/attempts.py
+++ b/chervilrock/decisions/serving/attempts.py
@@ -83,7 +83,7 @@
     *,
     status: int,
     progress: Progress,
-    may_repeat: bool,
+    may_retry: bool,
     max_attempts: int,
 ) -> NextStep:
     """Return what to do after a send, regardless of the retry budget.
@@ -99,10 +99,10 @@
         return NextStep.FINISH
     has_attempts = progress.sends < max_attempts
     if end is SendOutcome.NOT_RUN:
-        is_retry_safe = may_repeat or not progress.may_have_run
+        is_retry_safe = may_retry or not progress.may_have_run
         return NextStep.RETRY if has_attempts and is_retry_safe else NextStep.GIVE_UP
     if end is SendOutcome.FAILED:
-        if may_repeat and has_attempts and is_server_error(status):
+        if may_retry and has_attempts and is_server_error(status):
             return NextStep.RETRY
         return NextStep.FINISH
-    return NextStep.RETRY if may_repeat and has_attempts else NextStep.GIVE_UP
+    return NextStep.RETRY if may_retry and has_attempts else NextStep.GIVE_UP
--- a/chervilrock/decisions/serving/site.py
+++ b/chervilrock/decisions/serving/site.py
@@ -58,7 +58,7 @@
     is_resumable: bool
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT or self.is_resumable
 
--- a/chervilrock/edges/dispatch.py
+++ b/chervilrock/edges/dispatch.py
@@ -186,7 +186,7 @@
 ) -> RequestView:
     """Returns what the decisions know of a call of a plain service."""
     parsed = request.parsed
-    may_repeat = idempotent_method and parsed.idempotent is not False
+    may_retry = idempotent_method and parsed.idempotent is not False
     return RequestView(
         request_id=request.request_id,
         workspace=parsed.workspace,
@@ -196,6 +196,6 @@
         prompt_tokens=_SERVICE_COST_TOKENS,
         max_tokens=_SERVICE_COST_TOKENS,
         priority=parsed.priority,
-        idempotent=may_repeat and not parsed.key,
+        idempotent=may_retry and not parsed.key,
         deadline=request.deadline,
     )
--- a/chervilrock/edges/errors.py
+++ b/chervilrock/edges/errors.py
@@ -154,7 +154,7 @@
 
 
 def make_headers(
-    error: CallerError, *, may_repeat: bool
+    error: CallerError, *, may_retry: bool
 ) -> list[tuple[str, str]]:
     """Makes the headers of an error.
 
@@ -165,18 +165,18 @@
     headers = [
         ("Content-Type", "application/json; charset=UTF-8"),
         (OUTCOME_HEADER, error.outcome.value),
-        (SHOULD_RETRY_HEADER, format_should_retry(error, may_repeat)),
+        (SHOULD_RETRY_HEADER, format_should_retry(error, may_retry)),
     ]
     if error.delay_s > 0:
         headers.append(("Retry-After", str(math.ceil(error.delay_s))))
     return headers
 
 
-def format_should_retry(error: CallerError, may_repeat: bool) -> str:
+def format_should_retry(error: CallerError, may_retry: bool) -> str:
     """Tells a client that repeats by itself whether it may do so here."""
     if error.delay_s <= 0:
         return "false"
-    if error.outcome is Outcome.NOT_RUN or may_repeat:
+    if error.outcome is Outcome.NOT_RUN or may_retry:
         return "true"
     return "false"
 
--- a/chervilrock/edges/handlers.py
+++ b/chervilrock/edges/handlers.py
@@ -73,7 +73,7 @@
     def refuse(self, error: CallerError) -> None:
         """Answers with an error about a request that was sent nowhere."""
         self.set_status(error.status)
-        for name, value in errors.make_headers(error, may_repeat=True):
+        for name, value in errors.make_headers(error, may_retry=True):
             self.set_header(name, value)
         self.finish(errors.make_body(error, self.request_id))
 
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -92,7 +92,7 @@
             return Claim(ClaimKind.FORGOTTEN)
         if verdict is KeyVerdict.FAILED:
             return Claim(ClaimKind.REPLAY, outcome=Outcome.FAILED)
-        sink.fail(UNAVAILABLE, may_repeat=True)
+        sink.fail(UNAVAILABLE, may_retry=True)
         return Claim(ClaimKind.RUN)
 
     async def _follow_claim(
--- a/chervilrock/edges/once.py
+++ b/chervilrock/edges/once.py
@@ -101,7 +101,7 @@
                 outcome = end.error.outcome
         finally:
             if not recording.ended.done():
-                recording.fail(FORGOTTEN, may_repeat=False)
+                recording.fail(FORGOTTEN, may_retry=False)
             del self._recordings[name]
             finish(outcome, recording.make_record())
 
@@ -128,4 +128,4 @@
 
     A repeat with the same ticket or key is always safe.
     """
-    sink.fail(error, may_repeat=error.delay_s > 0)
+    sink.fail(error, may_retry=error.delay_s > 0)
--- a/chervilrock/edges/recordings.py
+++ b/chervilrock/edges/recordings.py
@@ -106,11 +106,11 @@
             follower.finish()
         self._end()
 
-    def fail(self, error: CallerError, *, may_repeat: bool) -> None:
+    def fail(self, error: CallerError, *, may_retry: bool) -> None:
         """See base class."""
         self.error = error
         for follower in self._followers:
-            follower.fail(error, may_repeat=may_repeat)
+            follower.fail(error, may_retry=may_retry)
         self._end()
 
     def cut(self) -> None:
--- a/chervilrock/edges/runs.py
+++ b/chervilrock/edges/runs.py
@@ -217,5 +217,5 @@
         )
 
     def _fail(self, error: CallerError) -> RunEnd:
-        self._sink.fail(error, may_repeat=self.view.idempotent)
+        self._sink.fail(error, may_retry=self.view.idempotent)
         return RunEnd(RequestOutcome(error.outcome.value), error)
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -211,7 +211,7 @@
             end,
             status=status,
             progress=self._progress,
-            may_repeat=route.may_repeat,
+            may_retry=route.may_retry,
             max_attempts=route.max_attempts,
         )
         if following is NextStep.FINISH:
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -70,7 +70,7 @@
         self.finish()
 
     @abc.abstractmethod
-    def fail(self, error: errors.CallerError, *, may_repeat: bool) -> None:
+    def fail(self, error: errors.CallerError, *, may_retry: bool) -> None:
         """Ends the answer with an error.
 
         Args:
@@ -166,12 +166,12 @@
             self._closed = True
             self._ended = self._handler.finish(body or None)
 
-    def fail(self, error: errors.CallerError, *, may_repeat: bool) -> None:
+    def fail(self, error: errors.CallerError, *, may_retry: bool) -> None:
         """See base class."""
         if self._closed:
             return
         if not self.started:
-            self._fail_early(error, may_repeat)
+            self._fail_early(error, may_retry)
         elif self._events:
             self.write(errors.make_event(error, self._request_id))
             self.finish()
@@ -242,11 +242,11 @@
         if self._transfer is not None:
             self._transfer.resume()
 
-    def _fail_early(self, error: errors.CallerError, may_repeat: bool) -> None:
+    def _fail_early(self, error: errors.CallerError, may_retry: bool) -> None:
         self.started = True
         self._closed = True
         self._handler.set_status(error.status)
-        for name, value in errors.make_headers(error, may_repeat=may_repeat):
+        for name, value in errors.make_headers(error, may_retry=may_retry):
             self._handler.set_header(name, value)
         body = errors.make_body(error, self._request_id)
         self._ended = self._handler.finish(body)
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -199,14 +199,14 @@
     end: SendOutcome,
     status: int,
     progress: Progress,
-    may_repeat: bool,
+    may_retry: bool,
     following: NextStep,
 ) -> None:
     decided = decide_next(
         end,
         status=status,
         progress=progress,
-        may_repeat=may_repeat,
+        may_retry=may_retry,
         max_attempts=2,
     )
     assert_that(decided, Is(following))
--- a/test/history/mutations.py
+++ b/test/history/mutations.py
@@ -60,11 +60,11 @@
     """End a broken stream without an error."""
     original = CallerSink.fail
 
-    def fail(self, error, *, may_repeat):
+    def fail(self, error, *, may_retry):
         if self.started and not self._closed:
             self.finish()
         else:
-            original(self, error, may_repeat=may_repeat)
+            original(self, error, may_retry=may_retry)
 
     return mock.patch.object(CallerSink, "fail", fail)
 
--- a/test/platform/test_adapter.py
+++ b/test/platform/test_adapter.py
@@ -102,8 +102,8 @@
     assert_that(draft.is_resumable, Is(True))
     assert_that(draft.longest_pause_s, Equals(0.3))
     assert_that(book.kind, Is(RouteKind.ONCE))
-    assert_that(book.may_repeat, Is(False))
-    assert_that(look.may_repeat, Is(True))
+    assert_that(book.may_retry, Is(False))
+    assert_that(look.may_retry, Is(True))
     assert configuration.keys is not None
     assert_that(configuration.keys["key-one"].name, Equals("brokers"))
     engine = configuration.services["drafts"].engine
