--- a/chervilrock/decisions/membership/losses.py
+++ b/chervilrock/decisions/membership/losses.py
@@ -18,7 +18,7 @@
     """
 
     lost: tuple[PeerNode, ...]
-    back: tuple[PeerNode, ...]
+    recovered: tuple[PeerNode, ...]
 
 
 class LossWatch:
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -224,7 +224,7 @@
             events.emit(
                 events.Event.PEER_LOST, node=peer.node, address=peer.address
             )
-        for peer in changes.back:
+        for peer in changes.recovered:
             events.emit(
                 events.Event.PEER_BACK, node=peer.node, address=peer.address
             )
--- a/test/decisions/membership/peer_world.py
+++ b/test/decisions/membership/peer_world.py
@@ -37,7 +37,7 @@
     """A configuration that records the revisions it was asked to adopt."""
 
     def __init__(self, *, follows: bool = False) -> None:
-        self.given: list[int] = []
+        self.adopted_revisions: list[int] = []
         self.follows = follows
         self._stored: StoredRecord | None = None
 
@@ -49,7 +49,7 @@
         return self._stored
 
     def adopt(self, stored: StoredRecord, now: float) -> None:
-        self.given.append(stored.offset)
+        self.adopted_revisions.append(stored.offset)
         if stored.offset > self.revision:
             self._stored = stored
 
--- a/test/decisions/membership/test_membership.py
+++ b/test/decisions/membership/test_membership.py
@@ -279,7 +279,7 @@
     world.nodes["d1n0:1"].shelf.adopt(make_stored(1), world.now)
     world.run(3.0)
     for node in world.active():
-        assert_that(node.shelf.given, Equals([1]))
+        assert_that(node.shelf.adopted_revisions, Equals([1]))
     revisions = {
         peer.revision for peer in world.nodes["d3n0:1"].table.live(world.now)
     }
@@ -304,9 +304,9 @@
     node.shelf.follows = True
     world.nodes["d2n1:1"].shelf.adopt(make_stored(1), world.now)
     world.run(0.5)
-    assert_that(node.shelf.given, HasLength(0))
+    assert_that(node.shelf.adopted_revisions, HasLength(0))
     world.run(4.0)
-    assert_that(node.shelf.given, Equals([1]))
+    assert_that(node.shelf.adopted_revisions, Equals([1]))
 
 
 def test_members_are_sent_only_when_they_changed(world: World) -> None:
--- a/test/tasks/test_peers.py
+++ b/test/tasks/test_peers.py
@@ -183,7 +183,7 @@
         await site.run(5.0)
 
     asyncio.run(drive())
-    assert_that(site.shelves["c"].given, Equals([1]))
+    assert_that(site.shelves["c"].adopted_revisions, Equals([1]))
     carried = [
         digest for _, digest in site.wire.sent if "configuration" in digest
     ]
