--- a/chervilrock/decisions/serving/entries.py
+++ b/chervilrock/decisions/serving/entries.py
@@ -23,7 +23,7 @@
         self._present: set[str] = set()
         self._may_be_outdated = False
 
-    def note_copy(self) -> None:
+    def record_restore(self) -> None:
         """Record that the store was restored from a backup.
 
         Entries may then be older than those that were read before.
--- a/chervilrock/decisions/serving/leadership.py
+++ b/chervilrock/decisions/serving/leadership.py
@@ -28,7 +28,7 @@
 """Least interval for each node of the installation: it limits a leader to 170
 announcements a second, which use a tenth of a core."""
 
-SILENT_INTERVALS = 3
+MISSED_INTERVALS = 3
 """Intervals without an announcement after which a leader counts as lost: 0.75 s
 at 9 nodes, where a killed leader is replaced after 0.9 s. With a limit of 1.0 s
 it takes 1.2 s."""
@@ -60,7 +60,7 @@
 CLAIM_RETRY_S = 0.5
 """Time until a node whose claim failed or got no answer claims again."""
 
-STORE_SILENCE_S = 1.5
+STORE_TIMEOUT_S = 1.5
 """Time without an answer of the store after which a leader steps down in favour
 of a node that reaches the store."""
 
@@ -70,13 +70,13 @@
     return max(ANNOUNCEMENT_INTERVAL_S, MIN_INTERVAL_PER_NODE_S * nodes)
 
 
-def find_pause(nodes: int) -> float:
+def find_min_interval(nodes: int) -> float:
     """Return the least time between two announcements to a node, in seconds."""
     return max(MIN_ANNOUNCEMENT_INTERVAL_S, MIN_INTERVAL_PER_NODE_S * nodes)
 
 
 def should_register(
-    *, rank: int, is_led: bool, was_leader: bool, waited_s: float
+    *, rank: int, has_leader: bool, was_leader: bool, waited_s: float
 ) -> bool:
     """Return whether a node that has started should register in the store.
 
@@ -95,7 +95,7 @@
       waited_s: time since the node read the records of the others.
     """
     is_claimant = rank < CLAIMANTS or was_leader
-    return is_claimant or is_led or waited_s >= MAX_REGISTRATION_DELAY_S
+    return is_claimant or has_leader or waited_s >= MAX_REGISTRATION_DELAY_S
 
 
 class Claim(NamedTuple):
@@ -153,7 +153,7 @@
         return True
 
     def note_announcement(
-        self, term: int, *, lost_after_s: float, is_ending: bool, now: float
+        self, term: int, *, lost_after_s: float, is_stepping_down: bool, now: float
     ) -> None:
         """Record an announcement of the leader of a term.
 
@@ -169,7 +169,7 @@
             return
         self._last_contact = now
         self._lost_after_s = lost_after_s
-        if not is_ending:
+        if not is_stepping_down:
             self._lost_since = None
         else:
             self.note_lost(now)
@@ -192,32 +192,32 @@
         if entry.incarnation != claim.entry.incarnation:
             self.note_lost(now)
 
-    def note_try(self, now: float) -> None:
+    def record_claim_attempt(self, now: float) -> None:
         """Record that this node tried to claim."""
         self._claim_tried_at = now
 
-    def note_overtaken(self) -> None:
+    def record_claim_conflict(self) -> None:
         """Record that the claim failed since another record came first.
 
         The node may claim again once it has read that record.
         """
         self._claim_tried_at = float("-inf")
 
-    def is_followed(self, now: float) -> bool:
+    def has_active_leader(self, now: float) -> bool:
         """Return whether there is contact with a leader that stays."""
-        return self._lost_since is None and self.is_heard(now)
+        return self._lost_since is None and self.has_contact(now)
 
-    def is_heard(self, now: float) -> bool:
+    def has_contact(self, now: float) -> bool:
         """Return whether the leader announces, even if it steps down."""
         timeout_s = self._lost_after_s
         return timeout_s is not None and now - self._last_contact <= timeout_s
 
-    def find_unled(self, now: float) -> float:
+    def find_leaderless_s(self, now: float) -> float:
         """Return the seconds without a leader that reaches the store."""
         start_times = []
         if self._lost_since is not None:
             start_times.append(self._lost_since)
-        if not self.is_heard(now):
+        if not self.has_contact(now):
             start_times.append(self._last_contact + (self._lost_after_s or 0.0))
         return now - min(start_times) if start_times else 0.0
 
@@ -236,6 +236,6 @@
             return True
         timeout_s = self._lost_after_s
         if timeout_s is None:
-            timeout_s = SILENT_INTERVALS * find_interval(nodes)
+            timeout_s = MISSED_INTERVALS * find_interval(nodes)
             timeout_s = min(timeout_s, FIRST_CONTACT_TIMEOUT_S)
         return now - self._last_contact > timeout_s + stagger_s
--- a/chervilrock/decisions/serving/messages.py
+++ b/chervilrock/decisions/serving/messages.py
@@ -62,7 +62,7 @@
     limit: StatedLimit | None = None
 
 
-class Onward(NamedTuple):
+class ForwardedFields(NamedTuple):
     """Fields that a node adds to a request that it forwards to a server.
 
     Attributes:
--- a/chervilrock/decisions/serving/paces.py
+++ b/chervilrock/decisions/serving/polling.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.serving.leadership import LAST_RANK
-from chervilrock.decisions.serving.relays import LEAST_RELAYED
+from chervilrock.decisions.serving.relays import MAX_DIRECT_NODES
 from chervilrock.decisions.serving.view import NodeEntry
 
 QUICK_PAUSE_S = 0.1
@@ -71,7 +71,7 @@
 as the leader itself could not reach the store, they made 3,303."""
 
 
-class Pace(NamedTuple):
+class PollSchedule(NamedTuple):
     """How often a topic is read.
 
     Attributes:
@@ -98,7 +98,7 @@
 """Time without a leader after which nodes that need not claim also read who
 leads. Designated readers claim first, mostly within half a second."""
 
-SERVERS_PACE = Pace(pause_s=0.25, retry_s=EAGER_RETRY_S, long_poll_s=0.5)
+SERVERS_SCHEDULE = PollSchedule(pause_s=0.25, retry_s=EAGER_RETRY_S, long_poll_s=0.5)
 """How the leader reads the entries of the servers. They write some forty
 records a second, and each call is paid for. A server that is leaving must be
 known well within the two seconds after which it may get no requests. The answer
@@ -126,13 +126,13 @@
     is_leader: bool
     may_lead: bool
     is_following: bool
-    is_hearing: bool
+    has_leader_contact: bool
     rank: int
     nodes: int
-    misses_store: bool
+    is_store_unavailable: bool
     is_designated: bool
     is_registered: bool
-    unled_s: float
+    leaderless_s: float
     lag_s: float
 
 
@@ -148,7 +148,7 @@
     """
     near = [node for node in nodes if node.data_centre == own.data_centre]
     # In a small data centre this includes a node that is not listed yet.
-    return len(near) <= LEAST_RELAYED or own in _choose_strongest(near)
+    return len(near) <= MAX_DIRECT_NODES or own in _choose_strongest(near)
 
 
 def list_designated(
@@ -156,7 +156,7 @@
 ) -> list[NodeEntry]:
     """Return the nodes of a data centre that read the store."""
     near = [node for node in nodes if node.data_centre == data_centre]
-    return near if len(near) <= LEAST_RELAYED else _choose_strongest(near)
+    return near if len(near) <= MAX_DIRECT_NODES else _choose_strongest(near)
 
 
 def _choose_strongest(near: list[NodeEntry]) -> list[NodeEntry]:
@@ -166,17 +166,17 @@
 
 def reads_configuration(reader: Reader) -> bool:
     """Return whether a node reads the configuration from the store now."""
-    lacks_updates = not reader.is_hearing or reader.lag_s > MAX_REVISION_LAG_S
+    lacks_updates = not reader.has_leader_contact or reader.lag_s > MAX_REVISION_LAG_S
     return _reads_for_itself(reader) or lacks_updates
 
 
 def reads_nodes(reader: Reader) -> bool:
     """Return whether a node reads nodes and leaders from the store now."""
-    if reader.misses_store and not reader.may_lead:
+    if reader.is_store_unavailable and not reader.may_lead:
         # Reads of the configuration suffice to detect that the store has
         # recovered, with half of the calls.
         return False
-    return _reads_for_itself(reader) or reader.unled_s > MAX_LEADERLESS_S
+    return _reads_for_itself(reader) or reader.leaderless_s > MAX_LEADERLESS_S
 
 
 def _reads_for_itself(reader: Reader) -> bool:
@@ -185,36 +185,36 @@
     return is_new or reader.is_leader or reader.is_designated
 
 
-def choose_configuration_pace(reader: Reader) -> Pace:
+def choose_configuration_schedule(reader: Reader) -> PollSchedule:
     """Return the schedule for reading the configuration."""
     wait_s = _find_long_poll_s(reader)
-    return Pace(
+    return PollSchedule(
         pause_s=QUICK_PAUSE_S,
         retry_s=_find_retry_s(reader),
         long_poll_s=min(wait_s, LEADER_LONG_POLL_S) if reader.is_leader else wait_s,
     )
 
 
-def choose_nodes_pace(reader: Reader) -> Pace:
+def choose_nodes_schedule(reader: Reader) -> PollSchedule:
     """Return the schedule for reading the nodes and the leader."""
     wait_s = _find_long_poll_s(reader)
     if not reader.is_following and reader.rank < CANDIDATES:
         # Also without a configuration, which may arrive at any moment.
-        return Pace(CANDIDATE_PAUSE_S, EAGER_RETRY_S, wait_s)
+        return PollSchedule(CANDIDATE_PAUSE_S, EAGER_RETRY_S, wait_s)
     is_leaderless = reader.may_lead and not reader.is_following
     is_waiting = reader.rank < LAST_RANK or not reader.is_registered
     if reader.is_leader or (is_leaderless and is_waiting):
-        return Pace(QUICK_PAUSE_S, LEADERLESS_RETRY_S, wait_s)
-    return Pace(STEADY_PAUSE_S, _find_retry_s(reader), wait_s)
+        return PollSchedule(QUICK_PAUSE_S, LEADERLESS_RETRY_S, wait_s)
+    return PollSchedule(STEADY_PAUSE_S, _find_retry_s(reader), wait_s)
 
 
 def _find_retry_s(reader: Reader) -> float:
-    return STEADY_RETRY_S if reader.is_hearing else LEADERLESS_RETRY_S
+    return STEADY_RETRY_S if reader.has_leader_contact else LEADERLESS_RETRY_S
 
 
 def _find_long_poll_s(reader: Reader) -> float:
     """Return the long-poll timeout in seconds."""
-    if reader.misses_store:
+    if reader.is_store_unavailable:
         # A long poll would delay the detection of a missing answer by its
         # timeout.
         return 0.0
--- a/chervilrock/decisions/serving/relays.py
+++ b/chervilrock/decisions/serving/relays.py
@@ -15,7 +15,7 @@
 
 from chervilrock.decisions.serving.view import NodeEntry, Summary
 
-LEAST_RELAYED = 8
+MAX_DIRECT_NODES = 8
 """Greatest number of nodes of a data centre that get announcements directly;
 with more of them one relays. With three nodes to a data centre a leader sends
 4 MB a minute over the links between data centres, with 26 nodes 24 MB."""
@@ -28,13 +28,13 @@
 replaced. The loss of a relay is detected after 0.6 s, and the next one has the
 answers of all its nodes one or two intervals later."""
 
-SWITCH_S = 0.9
+RELAY_SWITCH_S = 0.9
 """Time until another node replaces a lost relay: the timeout of the call and an
 interval. Nodes behind a relay detect the loss of the leader this much
 later."""
 
 
-class Circle(NamedTuple):
+class Recipients(NamedTuple):
     """Nodes to which the leader sends announcements itself.
 
     Attributes:
@@ -56,7 +56,7 @@
         self._failed_at: dict[str, float] = {}
         self._answers: dict[str, tuple[Summary, float]] = {}
 
-    def choose(self, nodes: Iterable[NodeEntry], now: float) -> Circle:
+    def choose(self, nodes: Iterable[NodeEntry], now: float) -> Recipients:
         """Return the nodes to send announcements to.
 
         Args:
@@ -74,13 +74,13 @@
             if data_centre in by_data_centre
         }
         for data_centre, members in by_data_centre.items():
-            is_small = len(members) <= LEAST_RELAYED
+            is_small = len(members) <= MAX_DIRECT_NODES
             if is_small or data_centre == self._own_data_centre:
                 self._relay_by_data_centre.pop(data_centre, None)
                 direct += members
             else:
                 relays.append(self._choose_one(data_centre, members, now))
-        return Circle(
+        return Recipients(
             nodes=(*direct, *relays),
             relays=frozenset(node.incarnation for node in relays),
         )
--- a/chervilrock/decisions/serving/toldloads.py
+++ b/chervilrock/decisions/serving/reportedloads.py
@@ -17,7 +17,7 @@
 NO_LOADS: Mapping[str, int] = MappingProxyType({})
 
 
-class ToldLoads:
+class ReportedLoads:
     """The requests that a node has reported to a leader, by endpoint."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
             self._reported.clear()
         self._reported.append(dict(loads))
 
-    def find_counted(self, term: int, lag: int) -> Mapping[str, int]:
+    def find_included(self, term: int, lag: int) -> Mapping[str, int]:
         """Return the requests of this node that a sum of the leader includes.
 
         Args:
--- a/chervilrock/decisions/serving/revisions.py
+++ b/chervilrock/decisions/serving/revisions.py
@@ -28,7 +28,7 @@
 """Revision of a node that has no configuration."""
 
 
-class RevisionWatch:
+class RevisionTracker:
     """Tracks revisions that are not in force on this node yet."""
 
     def __init__(self) -> None:
--- a/chervilrock/decisions/serving/storewatch.py
+++ b/chervilrock/decisions/serving/storehealth.py
@@ -22,7 +22,7 @@
 recovered, since no long poll lasts longer."""
 
 
-class StoreNews(NamedTuple):
+class StoreStatus(NamedTuple):
     """State of the store as a leader announces it.
 
     Attributes:
@@ -35,7 +35,7 @@
     recoveries: int
 
 
-class StoreWatch:
+class StoreMonitor:
     """Tracks outages of the store from the results of all calls of a node.
 
     Attributes:
@@ -49,12 +49,12 @@
     def __init__(self, *, now: float) -> None:
         """Create a monitor of a store that is available."""
         self.answered_at = now
-        self.lost_at: float | None = None
-        self.back_at = float("-inf")
+        self.unavailable_since: float | None = None
+        self.recovered_at = float("-inf")
         self.recoveries = 0
         self._unreliable_at = float("-inf")
         self._timed_out_topics: set[str] = set()
-        self._leader_status: StoreNews | None = None
+        self._leader_status: StoreStatus | None = None
 
     def note_answer(self, topic: str, now: float) -> bool:
         """Record an answer for a topic; return whether the store has recovered.
@@ -67,18 +67,18 @@
         # An earlier answer for another topic may have shown that the store is
         # available, which implies nothing for the reads of this topic.
         had_timed_out = topic in self._timed_out_topics
-        if self.lost_at is None and not had_timed_out:
+        if self.unavailable_since is None and not had_timed_out:
             return False
         has_recovered = had_timed_out or gap_s >= MIN_OUTAGE_S
-        self.lost_at = None
-        self.back_at = now
+        self.unavailable_since = None
+        self.recovered_at = now
         if has_recovered:
             self.recoveries += 1
             self._unreliable_at = now
             self._timed_out_topics.clear()
         return has_recovered
 
-    def note_failure(self, topic: str, now: float, *, is_silent: bool) -> None:
+    def note_failure(self, topic: str, now: float, *, is_timeout: bool) -> None:
         """Record that a call got no usable answer.
 
         Args:
@@ -87,22 +87,22 @@
           is_timeout: whether it timed out, rather than being rejected or
             losing its connection.
         """
-        if is_silent:
+        if is_timeout:
             self._timed_out_topics.add(topic)
-        if self.lost_at is None:
-            self.lost_at = now
+        if self.unavailable_since is None:
+            self.unavailable_since = now
 
-    def note_copy(self, now: float) -> None:
+    def record_restore(self, now: float) -> None:
         """Record that the store was restored from a backup.
 
         A pending long poll then waits for an offset that may be far ahead.
         """
         self.recoveries += 1
-        self.back_at = now
+        self.recovered_at = now
         self._unreliable_at = now
         self._timed_out_topics.clear()
 
-    def note_doubt(self, now: float) -> None:
+    def record_leader_outage(self, now: float) -> None:
         """Record that the leader gets no answer of the store."""
         self._unreliable_at = now
 
@@ -116,7 +116,7 @@
         """
         self.recoveries = int(now - self._unreliable_at < MAX_READ_S)
 
-    def note_news(self, status: StoreNews) -> bool:
+    def record_status(self, status: StoreStatus) -> bool:
         """Record an announced status; return whether the store recovered."""
         known = 0
         if (
--- a/chervilrock/decisions/serving/streams.py
+++ b/chervilrock/decisions/serving/streams.py
@@ -34,7 +34,7 @@
         self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the buffer contains bytes of an incomplete event."""
         return bool(self._buffer)
 
--- a/chervilrock/decisions/serving/view.py
+++ b/chervilrock/decisions/serving/view.py
@@ -158,10 +158,10 @@
     revision: int
     has_traffic: bool
     is_stopping: bool
-    is_cut_from_store: bool
+    is_store_unreachable: bool
     lost_after_s: float
     is_relay: bool
-    store_returns: int = 0
+    store_recoveries: int = 0
     loads_lag: int = 1
     suspects_sequence: int = 0
     suspects: tuple[Suspect, ...] | None = None
@@ -186,7 +186,7 @@
     nodes: tuple[str, ...] = ()
     loads: Mapping[str, int] = MappingProxyType({})
     senders: int = 0
-    silent: Mapping[str, int] = MappingProxyType({})
+    stalled: Mapping[str, int] = MappingProxyType({})
     has_traffic: bool = False
     term: int = -1
     revision: int = -1
@@ -218,23 +218,23 @@
     nodes_version: tuple[int, int]
     revision: int
     loads: Mapping[str, int]
-    silent: tuple[str, ...]
+    stalled: tuple[str, ...]
     has_traffic: bool
     relayed: Summary | None = None
     suspects_version: tuple[int, int] = (-1, 0)
 
 
-def add_up(summaries: Iterable[Summary]) -> Summary:
+def merge_summaries(summaries: Iterable[Summary]) -> Summary:
     """Return the aggregate of several summaries."""
     total = Summary()
     loads: Counter[str] = Counter()
-    silent: Counter[str] = Counter()
+    stalled: Counter[str] = Counter()
     nodes: list[str] = []
     senders = 0
     for summary in summaries:
         senders += summary.senders
         loads.update(summary.loads)
-        silent.update(summary.silent)
+        stalled.update(summary.stalled)
         nodes += summary.nodes
         is_newer = summary.revision > total.revision
         total = total._replace(
@@ -244,7 +244,7 @@
             holder=summary.holder if is_newer else total.holder,
         )
     return total._replace(
-        nodes=tuple(nodes), loads=loads, senders=senders, silent=silent
+        nodes=tuple(nodes), loads=loads, senders=senders, stalled=stalled
     )
 
 
@@ -254,7 +254,7 @@
         nodes=(answer.node.incarnation,) if answer.is_taking_callers else (),
         loads=answer.loads,
         senders=1 if answer.loads else 0,
-        silent=dict.fromkeys(answer.silent, 1),
+        stalled=dict.fromkeys(answer.stalled, 1),
         has_traffic=answer.has_traffic,
         term=answer.term,
         revision=answer.revision,
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -12,7 +12,7 @@
     SendOutcome,
 )
 from chervilrock.decisions.serving.lateness import Timeliness
-from chervilrock.decisions.serving.messages import AnswerFacts, Onward
+from chervilrock.decisions.serving.messages import AnswerFacts, ForwardedFields
 from chervilrock.decisions.serving.routes import (
     Admission,
     choose_service,
@@ -372,14 +372,14 @@
         workspace = admission.workspace
         remaining = self._expires - now
         is_group = isinstance(endpoint, GroupEndpoint)
-        onward = Onward(
+        forwarded = ForwardedFields(
             server=endpoint.server,
             workspace="" if workspace is None else workspace.name,
             remaining_s=remaining,
             last_event=self._last_event,
             urgency=self._find_urgency(admission) if is_group else None,
         )
-        pairs = names.make_onward_headers(request.headers, onward)
+        pairs = names.make_forwarded_headers(request.headers, forwarded)
         if not any(name.lower() == "content-type" for name, _ in pairs):
             # An empty value keeps libcurl from adding one of its own.
             pairs = (*pairs, ("Content-Type", ""))
--- a/chervilrock/edges/serving/receiver.py
+++ b/chervilrock/edges/serving/receiver.py
@@ -100,7 +100,7 @@
             return SendOutcome.LOST
         is_whole = not (
             end.error
-            or self.splitter.has_rest
+            or self.splitter.has_partial_event
             or self.splitter.is_faulty
             or self.is_too_long
         )
--- a/chervilrock/platform/headers.py
+++ b/chervilrock/platform/headers.py
@@ -5,7 +5,7 @@
 
 from chervilrock.decisions.serving.messages import (
     AnswerFacts,
-    Onward,
+    ForwardedFields,
     RequestFacts,
     StatedLimit,
 )
@@ -80,20 +80,20 @@
     )
 
 
-def make_onward_headers(
-    pairs: Iterable[tuple[str, str]], onward: Onward
+def make_forwarded_headers(
+    pairs: Iterable[tuple[str, str]], forwarded: ForwardedFields
 ) -> Pairs:
     """Return the headers of a request as a server gets them."""
     kept = list(_drop_connection_headers(pairs, _SET_BY_NODES))
-    milliseconds = max(1, int(onward.remaining_s * _MS_PER_S))
+    milliseconds = max(1, int(forwarded.remaining_s * _MS_PER_S))
     kept.append(("X-Deadline-Ms", str(milliseconds)))
-    kept.append((EXPECTED_SERVER, onward.server))
-    if onward.workspace:
-        kept.append(("X-Tenant", onward.workspace))
-    if onward.last_event:
-        kept.append(("Last-Event-Id", onward.last_event))
-    if onward.urgency is not None:
-        kept.append(("X-Request-Urgency", str(onward.urgency)))
+    kept.append((EXPECTED_SERVER, forwarded.server))
+    if forwarded.workspace:
+        kept.append(("X-Tenant", forwarded.workspace))
+    if forwarded.last_event:
+        kept.append(("Last-Event-Id", forwarded.last_event))
+    if forwarded.urgency is not None:
+        kept.append(("X-Request-Urgency", str(forwarded.urgency)))
     return tuple(kept)
 
 
--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -8,7 +8,7 @@
 
 from chervilrock.clients.errors import PlatformError, PlatformErrorKind
 from chervilrock.clients.serving import KeyedPage, KeyedStore, Topic
-from chervilrock.decisions.serving.paces import Pace
+from chervilrock.decisions.serving.polling import PollSchedule
 from chervilrock.tasks.mailbox import Outbox
 from chervilrock.tasks.serving.messages import Message, ReadFailed, RecordsRead
 
@@ -29,7 +29,7 @@
         *,
         store: KeyedStore,
         topic: Topic,
-        choose_schedule: Callable[[], Pace],
+        choose_schedule: Callable[[], PollSchedule],
         outbox: Outbox[Message],
     ) -> None:
         """Create a follower that has read nothing.
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -18,18 +18,18 @@
 from chervilrock.decisions.serving.entries import NewestEntries
 from chervilrock.decisions.serving.leadership import (
     find_interval,
-    find_pause,
-    SILENT_INTERVALS,
-    STORE_SILENCE_S,
+    find_min_interval,
+    MISSED_INTERVALS,
+    STORE_TIMEOUT_S,
 )
 from chervilrock.decisions.serving.limitregistry import LimitRegistry
-from chervilrock.decisions.serving.paces import SERVERS_PACE
-from chervilrock.decisions.serving.relays import Circle, RelayTable
+from chervilrock.decisions.serving.polling import SERVERS_SCHEDULE
+from chervilrock.decisions.serving.relays import Recipients, RelayTable
 from chervilrock.decisions.serving.serverlimits import LimitedServer
 from chervilrock.decisions.serving.site import SiteConfiguration
-from chervilrock.decisions.serving.storewatch import StoreWatch
+from chervilrock.decisions.serving.storehealth import StoreMonitor
 from chervilrock.decisions.serving.view import (
-    add_up,
+    merge_summaries,
     Announcement,
     GroupEndpoint,
     ServerEndpoint,
@@ -65,7 +65,7 @@
         *,
         term: int,
         state: ServingState,
-        store: StoreWatch,
+        store: StoreMonitor,
         outbound: Outbound,
         decode_server: DecodeServer,
         entries: NewestEntries,
@@ -91,7 +91,7 @@
         if state.routes is not None:
             self.set_configuration(state.routes.configuration)
         self._relays = RelayTable(data_centre=state.own.data_centre)
-        self._circle = Circle((), frozenset())
+        self._recipients = Recipients((), frozenset())
         self._peers = Peers(send=outbound.announce)
         self._limits = LimitRegistry(known=state.view.limits)
         self._summary = Summary()
@@ -103,7 +103,7 @@
         self._counted_at = float("-inf")
         self.host_counts: tuple[ModelCount, ...] = ()
         self._pending_removals: dict[str, float] = {}
-        self._follower = outbound.follow(Topic.SERVERS, lambda: SERVERS_PACE)
+        self._follower = outbound.follow(Topic.SERVERS, lambda: SERVERS_SCHEDULE)
 
     def close(self) -> None:
         """Stop leading."""
@@ -213,10 +213,10 @@
             for node in self._state.known_nodes.values()
             if node.incarnation != self._state.own.incarnation
         ]
-        former = self._circle.relays
-        self._circle = self._relays.choose(others, now)
+        former = self._recipients.relays
+        self._recipients = self._relays.choose(others, now)
         self._log_new_relays(former)
-        self._peers.sync(self._circle.nodes, now)
+        self._peers.sync(self._recipients.nodes, now)
         self._summarize_answers(now)
         self._controller.note_requests(
             self._loads, self._limits.find_rates(), now
@@ -236,8 +236,8 @@
 
     def _remove_servers(self, now: float) -> None:
         """Remove the servers whose entries were deleted and not rewritten."""
-        is_lost = self._store.lost_at is not None
-        if is_lost or now - self._store.back_at < OUTAGE_GRACE_S:
+        is_lost = self._store.unavailable_since is not None
+        if is_lost or now - self._store.recovered_at < OUTAGE_GRACE_S:
             return
         for server in self._pending_removals:
             emit(Event.SERVER_GONE, server=server)
@@ -247,8 +247,8 @@
 
     def _log_new_relays(self, former: frozenset[str]) -> None:
         """Log the newly chosen relays."""
-        for node in self._circle.nodes:
-            if node.incarnation in self._circle.relays - former:
+        for node in self._recipients.nodes:
+            if node.incarnation in self._recipients.relays - former:
                 emit(
                     Event.RELAY_CHOSEN,
                     node=node.node,
@@ -258,7 +258,7 @@
     def _summarize_answers(self, now: float) -> None:
         """Combine the answers of the nodes and apply them."""
         state = self._state
-        summary = add_up(
+        summary = merge_summaries(
             [
                 self._peers.summarize(self.interval_s, now),
                 *self._relays.list_answers(now),
@@ -275,7 +275,7 @@
         state.has_traffic = state.has_traffic or summary.has_traffic
         if state.has_traffic:
             self._controller.note_traffic()
-        for group in summary.silent:
+        for group in summary.stalled:
             self._controller.record_stall(group, now)
 
     def _update_node_list(self, summary: Summary) -> None:
@@ -394,10 +394,10 @@
             revision=max(state.revision, self._summary.revision),
             has_traffic=state.has_traffic,
             is_stopping=state.is_stopping,
-            is_cut_from_store=now - self._store.answered_at > STORE_SILENCE_S,
-            lost_after_s=SILENT_INTERVALS * interval_s,
+            is_store_unreachable=now - self._store.answered_at > STORE_TIMEOUT_S,
+            lost_after_s=MISSED_INTERVALS * interval_s,
             is_relay=False,
-            store_returns=self._store.recoveries,
+            store_recoveries=self._store.recoveries,
             suspects_sequence=state.suspects.version[1],
             senders=self._senders,
         )
@@ -407,11 +407,11 @@
             nodes=state.nodes,
             nodes_version=state.nodes_version,
             interval_s=interval_s,
-            busy_pause_s=find_pause(
-                self._peers.count_busy(self._circle.relays)
+            busy_pause_s=find_min_interval(
+                self._peers.count_busy(self._recipients.relays)
             ),
-            idle_pause_s=find_pause(len(self._peers)),
-            relays=self._circle.relays,
+            idle_pause_s=find_min_interval(len(self._peers)),
+            relays=self._recipients.relays,
             suspects=state.suspects.announced,
             suspects_version=state.suspects.version,
         )
--- a/chervilrock/tasks/serving/messages.py
+++ b/chervilrock/tasks/serving/messages.py
@@ -38,7 +38,7 @@
 
     topic: Topic
     reason: str
-    is_silent: bool
+    is_timeout: bool
 
 
 class OrderAnswered(NamedTuple):
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -18,16 +18,16 @@
     should_register,
 )
 from chervilrock.decisions.serving.orders import Stage
-from chervilrock.decisions.serving.paces import (
+from chervilrock.decisions.serving.polling import (
     is_designated,
     list_designated,
     Reader,
 )
-from chervilrock.decisions.serving.revisions import RevisionWatch
+from chervilrock.decisions.serving.revisions import RevisionTracker
 from chervilrock.decisions.serving.routes import RouteTable
-from chervilrock.decisions.serving.storewatch import StoreNews
+from chervilrock.decisions.serving.storehealth import StoreStatus
 from chervilrock.decisions.serving.terms import make_term
-from chervilrock.decisions.serving.toldloads import ToldLoads
+from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
     Announcement,
@@ -110,9 +110,9 @@
         )
         self._leader_role: LeaderRole | None = None
         self._entries = NewestEntries()
-        self._revisions = RevisionWatch()
+        self._revisions = RevisionTracker()
         self._announcing_leader: NodeEntry | None = None
-        self._reported_loads = ToldLoads()
+        self._reported_loads = ReportedLoads()
         self._is_designated = True
         self._store_era: int | None = None
         self._nodes_era: int | None = None
@@ -202,7 +202,7 @@
             nodes_version=state.nodes_version,
             revision=state.revision,
             loads=state.own_loads,
-            silent=state.list_avoided(now),
+            stalled=state.list_avoided(now),
             has_traffic=state.has_traffic,
             relayed=relayed,
             suspects_version=state.suspects.version,
@@ -215,7 +215,7 @@
         leader = None
         claim = self._leadership.claim
         if claim is not None and (
-            self.is_leader or self._leadership.is_heard(now)
+            self.is_leader or self._leadership.has_contact(now)
         ):
             leader = claim.entry.node
         return self._state.list_callers_addresses(data_centre, leader, now)
@@ -307,20 +307,20 @@
         return Reader(
             is_leader=self.is_leader,
             may_lead=self._state.routes is not None,
-            is_following=self._leadership.is_followed(now),
-            is_hearing=self._leadership.is_heard(now),
+            is_following=self._leadership.has_active_leader(now),
+            has_leader_contact=self._leadership.has_contact(now),
             rank=self._find_rank(),
             nodes=len(self._state.known_nodes),
-            misses_store=self._reads.store.lost_at is not None,
+            is_store_unavailable=self._reads.store.unavailable_since is not None,
             is_designated=self._is_designated or self.is_relay,
             is_registered=self._is_registered,
-            unled_s=self._leadership.find_unled(now),
+            leaderless_s=self._leadership.find_leaderless_s(now),
             lag_s=self.find_revision_lag(now),
         )
 
     def _has_contact(self, now: float) -> bool:
         """Return whether this node is informed about added nodes."""
-        if self.is_leader or self._leadership.is_heard(now):
+        if self.is_leader or self._leadership.has_contact(now):
             return True
         has_read = self._first_read_time is not None
         return has_read and self._reads.is_current(Topic.NODES)
@@ -390,8 +390,8 @@
         self._store_era = read.page.era
         # The restored store may reuse the offset of an earlier claim.
         self._claimed_offset = NO_OFFSET
-        self._entries.note_copy()
-        self._reads.store.note_copy(now)
+        self._entries.record_restore()
+        self._reads.store.record_restore(now)
         self._renew_reads("the store was restored from a backup", read.topic)
 
     def _renew_reads(self, reason: str, answered: Topic | None = None) -> None:
@@ -406,11 +406,11 @@
         if not answered.is_answered:
             self._claimed_offset = NO_OFFSET
             self._reads.store.note_failure(
-                Topic.NODES.value, now, is_silent=True
+                Topic.NODES.value, now, is_timeout=True
             )
         elif answered.is_outdated:
             # The records written in the meantime have to be read first.
-            self._leadership.note_overtaken()
+            self._leadership.record_claim_conflict()
         else:
             self._claimed_offset = NO_OFFSET
         # The pending long poll may be one that is never answered.
@@ -600,7 +600,7 @@
         self._leadership.note_announcement(
             announcement.term,
             lost_after_s=announcement.lost_after_s,
-            is_ending=announcement.is_cut_from_store
+            is_stepping_down=announcement.is_store_unreachable
             or announcement.is_stopping,
             now=now,
         )
@@ -617,7 +617,7 @@
                 announcement.suspects,
                 now,
             )
-        counted = self._reported_loads.find_counted(
+        counted = self._reported_loads.find_included(
             announcement.term, announcement.loads_lag
         )
         state.apply_loads(
@@ -632,10 +632,10 @@
             state.apply_view(view, now)
         if state.view.version == (announcement.term, announcement.sequence):
             state.view_time = now
-        if announcement.is_cut_from_store:
-            self._reads.store.note_doubt(now)
-        store_status = StoreNews(announcement.term, announcement.store_returns)
-        if self._reads.store.note_news(store_status):
+        if announcement.is_store_unreachable:
+            self._reads.store.record_leader_outage(now)
+        store_status = StoreStatus(announcement.term, announcement.store_recoveries)
+        if self._reads.store.record_status(store_status):
             self._renew_reads("the leader announced that the store recovered")
         self._revisions.record_reported(announcement.revision, state.revision, now)
         self._announcing_leader = announcement.leader
@@ -690,12 +690,12 @@
 
     def _update_suspects(self, now: float) -> None:
         """Report requests that crash servers, and update which are withheld."""
-        is_heard = self._leadership.is_heard(now)
+        has_contact = self._leadership.has_contact(now)
         is_changed = self.poisondetector.act(
             now,
             term=None if self._leader_role is None else self._leader_role.term,
-            leader=self._find_leader() if is_heard else None,
-            reaches_store=self._reads.store.lost_at is None,
+            leader=self._find_leader() if has_contact else None,
+            reaches_store=self._reads.store.unavailable_since is None,
         )
         if is_changed:
             # Waiting requests may have to be rejected.
@@ -710,7 +710,7 @@
         is_new = leadership.term > self._first_term
         if not should_register(
             rank=self._find_rank(),
-            is_led=is_new or leadership.is_heard(now),
+            has_leader=is_new or leadership.has_contact(now),
             was_leader=claim is not None and claim.entry.node == self._own.node,
             waited_s=now - self._first_read_time,
         ):
@@ -733,7 +733,7 @@
         nodes = len(state.known_nodes)
         if not leadership.should_claim(self._find_rank(), nodes, now):
             return
-        leadership.note_try(now)
+        leadership.record_claim_attempt(now)
         self._is_claiming = True
         self._claimed_offset = self._next_nodes_offset
         self._outbound.claim(leadership.own_entry, self._next_nodes_offset)
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -20,7 +20,7 @@
     Topic,
 )
 from chervilrock.decisions.serving.effects import Command
-from chervilrock.decisions.serving.paces import Pace
+from chervilrock.decisions.serving.polling import PollSchedule
 from chervilrock.decisions.serving.site import (
     BackendServer,
     SiteConfiguration,
@@ -122,7 +122,7 @@
             task.cancel()
 
     def follow(
-        self, topic: Topic, choose_schedule: Callable[[], Pace]
+        self, topic: Topic, choose_schedule: Callable[[], PollSchedule]
     ) -> FollowerTask:
         """Start to follow a topic of the store.
 
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -6,7 +6,7 @@
 from chervilrock.decisions.serving.suspects import Suspect
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
-    add_up,
+    merge_summaries,
     Announcement,
     NodeEntry,
     ServingView,
@@ -241,7 +241,7 @@
 
     def summarize(self, interval_s: float, now: float) -> Summary:
         """Return the summary of the answers of all live nodes."""
-        return add_up(
+        return merge_summaries(
             summarize(peer.acknowledgement)
             for peer in self._peers.values()
             if peer.acknowledgement is not None
--- a/chervilrock/tasks/serving/reads.py
+++ b/chervilrock/tasks/serving/reads.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.paces import (
-    choose_configuration_pace,
-    choose_nodes_pace,
+from chervilrock.decisions.serving.polling import (
+    choose_configuration_schedule,
+    choose_nodes_schedule,
     Reader,
     reads_configuration,
     reads_nodes,
 )
-from chervilrock.decisions.serving.storewatch import StoreWatch
+from chervilrock.decisions.serving.storehealth import StoreMonitor
 from chervilrock.events import emit, Event
 from chervilrock.tasks.serving.dependency import Dependency
 from chervilrock.tasks.serving.follower import FollowerTask
@@ -42,7 +42,7 @@
           describe_reader: returns the current properties of the node.
           now: present time.
         """
-        self.store = StoreWatch(now=now)
+        self.store = StoreMonitor(now=now)
         self._outbound = outbound
         self._describe_reader = describe_reader
         # Separate for each topic, as one may be answered while another is not.
@@ -56,11 +56,11 @@
         self._follower_tasks = {
             Topic.CONFIGURATION: self._outbound.follow(
                 Topic.CONFIGURATION,
-                lambda: choose_configuration_pace(self._describe_reader()),
+                lambda: choose_configuration_schedule(self._describe_reader()),
             ),
             Topic.NODES: self._outbound.follow(
                 Topic.NODES,
-                lambda: choose_nodes_pace(self._describe_reader()),
+                lambda: choose_nodes_schedule(self._describe_reader()),
             ),
         }
 
@@ -118,7 +118,7 @@
         """Record a failed read of a topic."""
         self._dependencies[failed.topic].note_failure(failed.reason, now)
         self.store.note_failure(
-            failed.topic.value, now, is_silent=failed.is_silent
+            failed.topic.value, now, is_timeout=failed.is_timeout
         )
 
     def find_age(self, topic: Topic, now: float) -> float:
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -1,10 +1,10 @@
 """Forwarding of announcements within a data centre."""
 
 from chervilrock.decisions.serving.leadership import (
-    find_pause,
-    SILENT_INTERVALS,
+    find_min_interval,
+    MISSED_INTERVALS,
 )
-from chervilrock.decisions.serving.relays import SWITCH_S
+from chervilrock.decisions.serving.relays import RELAY_SWITCH_S
 from chervilrock.decisions.serving.view import Announcement, Summary
 from chervilrock.tasks.serving.messages import PeerAnswered
 from chervilrock.tasks.serving.outbound import Outbound
@@ -61,7 +61,7 @@
 
     @property
     def _interval_s(self) -> float:
-        return self._lost_after_s / SILENT_INTERVALS
+        return self._lost_after_s / MISSED_INTERVALS
 
     def note_answered(self, answered: PeerAnswered, now: float) -> None:
         """Record the answer to a forwarded announcement."""
@@ -89,7 +89,7 @@
         state = self._state
         return Update(
             base=announcement._replace(
-                lost_after_s=announcement.lost_after_s + SWITCH_S,
+                lost_after_s=announcement.lost_after_s + RELAY_SWITCH_S,
                 loads_lag=announcement.loads_lag + 1,
             ),
             view=state.view,
@@ -97,7 +97,7 @@
             nodes_version=state.nodes_version,
             interval_s=self._interval_s,
             busy_pause_s=0.0,
-            idle_pause_s=find_pause(len(self._peers)),
+            idle_pause_s=find_min_interval(len(self._peers)),
             suspects=state.suspects.announced,
             suspects_version=state.suspects.version,
         )
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -21,7 +21,7 @@
     CLAIM_STAGGER_S,
     find_interval,
     Leadership,
-    SILENT_INTERVALS,
+    MISSED_INTERVALS,
 )
 from chervilrock.decisions.serving.messages import AnswerFacts
 from chervilrock.decisions.serving.retrybudget import RetryBudget
@@ -222,7 +222,7 @@
     )
     assert_that(forwarded, Equals(stream))
     assert_that(splitter.last_event, Equals("8"))
-    assert_that(splitter.has_rest, Is(False))
+    assert_that(splitter.has_partial_event, Is(False))
 
 
 def test_an_incomplete_event_is_not_forwarded() -> None:
@@ -230,7 +230,7 @@
     forwarded = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     assert_that(forwarded, Equals(b"id: 1\ndata: a\n\n"))
     assert_that(splitter.last_event, Equals("1"))
-    assert_that(splitter.has_rest, Is(True))
+    assert_that(splitter.has_partial_event, Is(True))
 
 
 def test_an_event_that_the_caller_has_already_is_a_fault() -> None:
@@ -318,7 +318,7 @@
         Leadership(node=f"n{rank}", incarnation="i", now=0.0)
         for rank in range(3)
     ]
-    contact_timeout_s = SILENT_INTERVALS * find_interval(3)
+    contact_timeout_s = MISSED_INTERVALS * find_interval(3)
     early = contact_timeout_s + CLAIM_STAGGER_S / 2
     claims = [
         node.should_claim(rank, 3, early) for rank, node in enumerate(nodes)
@@ -341,7 +341,7 @@
     ]
     for node in nodes:
         node.note_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
-        node.note_announcement(5, lost_after_s=1.0, is_ending=True, now=0.1)
+        node.note_announcement(5, lost_after_s=1.0, is_stepping_down=True, now=0.1)
     claims = [
         node.should_claim(rank, 3, 0.1 + CLAIM_STAGGER_S / 2)
         for rank, node in enumerate(nodes)
@@ -361,7 +361,7 @@
         now = step * 0.05
         if step % 5 == 0:
             node.note_announcement(
-                5, lost_after_s=0.75, is_ending=True, now=now
+                5, lost_after_s=0.75, is_stepping_down=True, now=now
             )
         if claimed is None and node.should_claim(3, 9, now):
             claimed = now
@@ -426,16 +426,16 @@
     claim = Claim(5, LeaderEntry("m", "j"))
     leadership.note_claim(claim, 1.0)
 
-    def announce(now: float, *, is_ending: bool) -> None:
+    def announce(now: float, *, is_stepping_down: bool) -> None:
         leadership.note_announcement(
-            5, lost_after_s=0.75, is_ending=is_ending, now=now
+            5, lost_after_s=0.75, is_stepping_down=is_stepping_down, now=now
         )
 
-    announce(2.0, is_ending=False)
-    assert_that(leadership.find_unled(2.7), Equals(0.0))
-    assert_that(leadership.find_unled(3.0), Equals(0.25))
-    announce(3.0, is_ending=True)
-    announce(3.5, is_ending=True)
-    assert_that(leadership.find_unled(3.6), Equals(3.6 - 3.0))
-    announce(4.0, is_ending=False)
-    assert_that(leadership.find_unled(4.1), Equals(0.0))
+    announce(2.0, is_stepping_down=False)
+    assert_that(leadership.find_leaderless_s(2.7), Equals(0.0))
+    assert_that(leadership.find_leaderless_s(3.0), Equals(0.25))
+    announce(3.0, is_stepping_down=True)
+    announce(3.5, is_stepping_down=True)
+    assert_that(leadership.find_leaderless_s(3.6), Equals(3.6 - 3.0))
+    announce(4.0, is_stepping_down=False)
+    assert_that(leadership.find_leaderless_s(4.1), Equals(0.0))
--- a/test/decisions/serving/test_entries.py
+++ b/test/decisions/serving/test_entries.py
@@ -35,7 +35,7 @@
 def test_an_older_entry_does_not_make_a_leaving_server_ready(
     entries: NewestEntries,
 ) -> None:
-    entries.note_copy()
+    entries.record_restore()
     assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
 
 
@@ -44,7 +44,7 @@
 ) -> None:
     entries.note_gone("i-1")
     assert_that(list(entries.list_present()), HasLength(0))
-    entries.note_copy()
+    entries.record_restore()
     assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
 
 
@@ -56,7 +56,7 @@
 def test_an_entry_that_may_be_newer_replaces_the_known_one(
     entries: NewestEntries, entry: BackendServer
 ) -> None:
-    entries.note_copy()
+    entries.record_restore()
     assert_that(entries.update(entry).is_leaving, Is(False))
 
 
--- a/test/decisions/serving/test_paces.py
+++ b/test/decisions/serving/test_polling.py
@@ -4,10 +4,10 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
 
-from chervilrock.decisions.serving.paces import (
+from chervilrock.decisions.serving.polling import (
     CANDIDATES,
-    choose_configuration_pace,
-    choose_nodes_pace,
+    choose_configuration_schedule,
+    choose_nodes_schedule,
     EAGER_RETRY_S,
     is_designated,
     LEADER_LONG_POLL_S,
@@ -20,11 +20,11 @@
     Reader,
     reads_configuration,
     reads_nodes,
-    SERVERS_PACE,
+    SERVERS_SCHEDULE,
     STEADY_RETRY_S,
 )
-from chervilrock.decisions.serving.relays import LEAST_RELAYED
-from chervilrock.decisions.serving.storewatch import MAX_READ_S
+from chervilrock.decisions.serving.relays import MAX_DIRECT_NODES
+from chervilrock.decisions.serving.storehealth import MAX_READ_S
 from chervilrock.decisions.serving.view import NodeEntry
 from chervilrock.platform.store import TIMEOUT_S
 
@@ -32,16 +32,16 @@
     is_leader=False,
     may_lead=True,
     is_following=True,
-    is_hearing=True,
+    has_leader_contact=True,
     rank=5,
     nodes=9,
-    misses_store=False,
+    is_store_unavailable=False,
     is_designated=True,
     is_registered=True,
-    unled_s=0.0,
+    leaderless_s=0.0,
     lag_s=0.0,
 )
-LEADERLESS = STEADY._replace(is_following=False, is_hearing=False, unled_s=0.1)
+LEADERLESS = STEADY._replace(is_following=False, has_leader_contact=False, leaderless_s=0.1)
 NOT_DESIGNATED = STEADY._replace(is_designated=False)
 
 
@@ -51,14 +51,14 @@
 )
 def test_long_polls_last_longer_in_larger_installations(nodes, wait_s):
     reader = STEADY._replace(nodes=nodes)
-    for choose in (choose_configuration_pace, choose_nodes_pace):
+    for choose in (choose_configuration_schedule, choose_nodes_schedule):
         assert_that(round(choose(reader).long_poll_s, 3), Equals(wait_s))
 
 
 def test_the_leader_reads_the_configuration_often():
     # Together with the timeout of the answer and a pause, the leader detects
     # an unresponsive connection within the two seconds of a configuration.
-    schedule = choose_configuration_pace(STEADY._replace(is_leader=True))
+    schedule = choose_configuration_schedule(STEADY._replace(is_leader=True))
     assert_that(schedule.long_poll_s, Equals(LEADER_LONG_POLL_S))
     assert_that(schedule.long_poll_s + TIMEOUT_S + schedule.pause_s, LessThan(2.0))
 
@@ -67,20 +67,20 @@
     "reader", [STEADY, LEADERLESS, LEADERLESS._replace(rank=0)]
 )
 def test_no_long_polls_are_made_while_the_store_does_not_answer(reader):
-    missing = reader._replace(misses_store=True)
-    for choose in (choose_configuration_pace, choose_nodes_pace):
+    missing = reader._replace(is_store_unavailable=True)
+    for choose in (choose_configuration_schedule, choose_nodes_schedule):
         assert_that(choose(missing).long_poll_s, Equals(0.0))
 
 
 def test_only_nodes_that_announce_a_recovery_retry_often():
     # The leader steps down without the store, but still announces.
-    stepping_down = STEADY._replace(is_following=False, misses_store=True)
-    first = choose_nodes_pace(stepping_down._replace(rank=CANDIDATES - 1))
+    stepping_down = STEADY._replace(is_following=False, is_store_unavailable=True)
+    first = choose_nodes_schedule(stepping_down._replace(rank=CANDIDATES - 1))
     assert_that(first.retry_s, Equals(EAGER_RETRY_S))
-    assert_that(SERVERS_PACE.retry_s, Equals(EAGER_RETRY_S))
-    others = choose_configuration_pace(stepping_down)
+    assert_that(SERVERS_SCHEDULE.retry_s, Equals(EAGER_RETRY_S))
+    others = choose_configuration_schedule(stepping_down)
     assert_that(others.retry_s, Equals(STEADY_RETRY_S))
-    lost = choose_configuration_pace(LEADERLESS._replace(misses_store=True))
+    lost = choose_configuration_schedule(LEADERLESS._replace(is_store_unavailable=True))
     assert_that(lost.retry_s, Equals(LEADERLESS_RETRY_S))
 
 
@@ -106,7 +106,7 @@
 def test_other_nodes_read_nothing_while_there_is_contact_with_a_leader():
     for with_contact in (
         NOT_DESIGNATED,
-        NOT_DESIGNATED._replace(is_following=False, unled_s=0.5),
+        NOT_DESIGNATED._replace(is_following=False, leaderless_s=0.5),
     ):
         assert_that(reads_configuration(with_contact), Equals(False))
         assert_that(reads_nodes(with_contact), Equals(False))
@@ -114,11 +114,11 @@
 
 def test_other_nodes_read_without_timely_announcements():
     lost = NOT_DESIGNATED._replace(
-        is_following=False, is_hearing=False, unled_s=0.1
+        is_following=False, has_leader_contact=False, leaderless_s=0.1
     )
     assert_that(reads_configuration(lost), Equals(True))
     assert_that(reads_nodes(lost), Equals(False))
-    leaderless = lost._replace(unled_s=MAX_LEADERLESS_S + 0.1)
+    leaderless = lost._replace(leaderless_s=MAX_LEADERLESS_S + 0.1)
     assert_that(reads_nodes(leaderless), Equals(True))
     lagging = NOT_DESIGNATED._replace(lag_s=MAX_REVISION_LAG_S + 0.1)
     assert_that(reads_configuration(lagging), Equals(True))
@@ -131,8 +131,8 @@
             f"{place}{number}", f"i{number}", "p", "c", place, cores
         )
 
-    nodes = [make(number, "a") for number in range(LEAST_RELAYED + 1)]
-    nodes += [make(number, "b") for number in range(LEAST_RELAYED)]
+    nodes = [make(number, "a") for number in range(MAX_DIRECT_NODES + 1)]
+    nodes += [make(number, "b") for number in range(MAX_DIRECT_NODES)]
     names = [node.node for node in list_designated("a", nodes)]
     assert_that(names, Equals(["a5", "a0"]))
     small = [node for node in nodes if node.data_centre == "b"]
@@ -143,7 +143,7 @@
 
 
 def test_without_configuration_and_store_only_the_configuration_is_read():
-    new = LEADERLESS._replace(may_lead=False, misses_store=True)
+    new = LEADERLESS._replace(may_lead=False, is_store_unavailable=True)
     assert_that(reads_configuration(new), Equals(True))
     assert_that(reads_nodes(new), Equals(False))
-    assert_that(reads_nodes(new._replace(misses_store=False)), Equals(True))
+    assert_that(reads_nodes(new._replace(is_store_unavailable=False)), Equals(True))
--- a/test/decisions/serving/test_relays.py
+++ b/test/decisions/serving/test_relays.py
@@ -5,13 +5,13 @@
 
 from chervilrock.decisions.serving.relays import (
     ANSWER_TTL_S,
-    LEAST_RELAYED,
+    MAX_DIRECT_NODES,
     RELAY_BACKOFF_S,
     RelayTable,
 )
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
-    add_up,
+    merge_summaries,
     NodeEntry,
     summarize,
     Summary,
@@ -31,7 +31,7 @@
 
 
 def make_data_centre(
-    data_centre: str, count: int = LEAST_RELAYED + 1
+    data_centre: str, count: int = MAX_DIRECT_NODES + 1
 ) -> list[NodeEntry]:
     """Return the nodes of a data centre, the third of them the strongest."""
     return [
@@ -55,7 +55,7 @@
 
 def test_a_small_data_centre_gets_announcements_directly() -> None:
     table = RelayTable(data_centre="a")
-    small = make_data_centre("b", LEAST_RELAYED)
+    small = make_data_centre("b", MAX_DIRECT_NODES)
     recipients = table.choose(small, 0.0)
     assert_that(recipients.nodes, Equals(tuple(small)))
     assert_that(recipients.relays, HasLength(0))
@@ -119,23 +119,23 @@
         nodes_version=(3, 1),
         revision=5,
         loads={"head": 2},
-        silent=("head",),
+        stalled=("head",),
         has_traffic=False,
     )
     return answer._replace(**changes)  # type: ignore[arg-type]
 
 
 def test_summaries_are_merged() -> None:
-    total = add_up(
+    total = merge_summaries(
         [
             summarize(make_answer("b0")),
             summarize(make_answer("b1", is_taking_callers=False, revision=7)),
-            summarize(make_answer("b2", term=4, has_traffic=True, silent=())),
+            summarize(make_answer("b2", term=4, has_traffic=True, stalled=())),
         ]
     )
     assert_that(list(total.nodes), Equals(["i-b0", "i-b2"]))
     assert_that(dict(total.loads), Equals({"head": 6}))
-    assert_that(dict(total.silent), Equals({"head": 2}))
+    assert_that(dict(total.stalled), Equals({"head": 2}))
     assert_that(total.term, Equals(4))
     assert_that(total.revision, Equals(7))
     assert total.holder is not None
--- a/test/decisions/serving/test_revisions.py
+++ b/test/decisions/serving/test_revisions.py
@@ -8,7 +8,7 @@
 from chervilrock.decisions.serving.revisions import (
     NO_REVISION,
     RETRY_INTERVAL_S,
-    RevisionWatch,
+    RevisionTracker,
     STORE_WAIT_S,
 )
 from test.decisions.serving.test_relays import make_node
@@ -23,7 +23,7 @@
     generator = random.Random(1)
     request_count = 0
     for _ in range(77):
-        tracker = RevisionWatch()
+        tracker = RevisionTracker()
         read_at = generator.uniform(0.0, 0.1)
         reported_at = generator.uniform(0.0, 0.1)
         tracker.record_reported(7, 7 if reported_at >= read_at else 6, reported_at)
@@ -34,7 +34,7 @@
 
 
 def test_a_node_without_the_store_retries_until_it_has_the_document() -> None:
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     generator = random.Random(1)
     tracker.record_reported(7, 6, 0.0)
     assert_that(tracker.is_due(6, STORE_WAIT_S - 0.01), Is(False))
@@ -52,7 +52,7 @@
 
 
 def test_the_reporting_node_is_chosen_without_other_near_nodes() -> None:
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     tracker.record_reported(7, 6, 0.0)
     for _ in range(3):
         source = tracker.choose_source((), LEADER, random.Random(1), 1.0)
@@ -60,21 +60,21 @@
 
 
 def test_a_report_of_an_older_revision_changes_nothing() -> None:
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     tracker.record_reported(7, 6, 0.0)
     tracker.record_reported(5, 6, 1.0)
     assert_that(tracker.is_due(6, STORE_WAIT_S), Is(True))
 
 
 def test_a_node_without_any_configuration_requests_one_at_once() -> None:
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     tracker.record_reported(7, NO_REVISION, 0.0)
     assert_that(tracker.is_due(NO_REVISION, 0.0), Is(True))
 
 
 def test_frequent_revisions_do_not_delay_a_node_without_the_store() -> None:
     # A change each 0.24 s for 5 s; this node gets none of them from the store.
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     requested_at = None
     for step in range(110):
         now = step * 0.05
@@ -87,7 +87,7 @@
 
 def test_frequent_revisions_from_the_store_cause_no_requests() -> None:
     # The node gets each change from the store 0.1 s after its announcement.
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     request_count = 0
     for step in range(110):
         now = step * 0.05
@@ -98,7 +98,7 @@
 
 
 def test_a_node_that_does_not_read_the_store_sends_a_request_at_once() -> None:
-    tracker = RevisionWatch()
+    tracker = RevisionTracker()
     tracker.record_reported(7, 6, 1.0)
     assert_that(tracker.is_due(6, 1.0, is_reading=True), Is(False))
     assert_that(tracker.is_due(6, 1.0, is_reading=False), Is(True))
--- a/test/node/test_serving.py
+++ b/test/node/test_serving.py
@@ -17,7 +17,7 @@
     Not,
 )
 
-from chervilrock.decisions.serving.relays import LEAST_RELAYED
+from chervilrock.decisions.serving.relays import MAX_DIRECT_NODES
 from chervilrock.node.serving import LEAST_STOP_S
 from chervilrock.standin.site.servers import ServerFault
 from chervilrock.standin.site.site import (
@@ -313,7 +313,7 @@
 
 def test_relays_tell_the_nodes_of_a_large_data_centre() -> None:
     async def scenario(world: World) -> None:
-        for _ in range(LEAST_RELAYED + 1):
+        for _ in range(MAX_DIRECT_NODES + 1):
             world.add_node(data_centre="b")
         await world.wait(world.serves_all, "all nodes know the groups")
 
--- a/test/platform/test_adapter.py
+++ b/test/platform/test_adapter.py
@@ -11,7 +11,7 @@
 
 from chervilrock.clients.httpclient import HttpAnswer
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.messages import Onward, StatedLimit
+from chervilrock.decisions.serving.messages import ForwardedFields, StatedLimit
 from chervilrock.decisions.serving.orders import Close, Join, Leave, Open
 from chervilrock.decisions.serving.site import (
     Membership,
@@ -22,7 +22,7 @@
 from chervilrock.platform.engines import encode_order
 from chervilrock.platform.headers import (
     make_caller_headers,
-    make_onward_headers,
+    make_forwarded_headers,
     read_answer,
     read_request,
 )
@@ -320,8 +320,8 @@
         ("X-Model", "m"),
         ("Last-Event-Id", "3"),
     ]
-    onward = Onward("i-1", "brokers", 1.25, "7", 2)
-    sent = make_onward_headers(pairs, onward)
+    forwarded = ForwardedFields("i-1", "brokers", 1.25, "7", 2)
+    sent = make_forwarded_headers(pairs, forwarded)
     assert_that(
         dict(sent),
         Equals(
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -27,7 +27,7 @@
     SiteConfiguration,
     WeightedService,
 )
-from chervilrock.decisions.serving.toldloads import ToldLoads
+from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.view import (
     GroupEndpoint,
     NodeEntry,
@@ -419,7 +419,7 @@
             for data_centre in range(fleet.data_centres)
             for number in range(fleet.nodes)
         ]
-        self._reported_loads = [ToldLoads() for _ in self._nodes]
+        self._reported_loads = [ReportedLoads() for _ in self._nodes]
         self._load_totals: list[dict[str, int]] = [{}] * fleet.lag
         total_s = WARM_UP_S + load.duration_s + load.recovery_s
         self._seconds = [
@@ -558,7 +558,7 @@
                 state.refill_budgets(is_in_touch=True, now=now)
                 state.apply_loads(
                     self._load_totals[0],
-                    reported.find_counted(TERM, lag),
+                    reported.find_included(TERM, lag),
                     senders=len(self._nodes),
                     now=now,
                 )
--- a/test/tasks/stale_loads.py
+++ b/test/tasks/stale_loads.py
@@ -22,7 +22,7 @@
     Service,
     SiteConfiguration,
 )
-from chervilrock.decisions.serving.toldloads import ToldLoads
+from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.view import (
     GroupEndpoint,
     NodeEntry,
@@ -137,7 +137,7 @@
         self._generator = random.Random(7)
         view = ServingView(TERM, 1, _make_groups(load), ())
         self._states = [self._make_state(node, view) for node in nodes]
-        self._reported = [ToldLoads() for _ in nodes]
+        self._reported = [ReportedLoads() for _ in nodes]
         self._running = {group.server: 0 for group in view.groups}
         self._waiting: list[int] = []
         self._ends: list[tuple[float, str, int]] = []
@@ -202,7 +202,7 @@
         for state, reported in zip(self._states, self._reported, strict=True):
             own = state.own_loads
             if counts_sent:
-                own = reported.find_counted(TERM, lag)
+                own = reported.find_included(TERM, lag)
             state.apply_loads(
                 self._totals[0], own, senders=len(self._states), now=now
             )
--- a/test/tasks/test_designated_readers.py
+++ b/test/tasks/test_designated_readers.py
@@ -7,7 +7,7 @@
 from testtools.matchers import Equals, LessThan
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.paces import list_designated
+from chervilrock.decisions.serving.polling import list_designated
 from test.tasks.installation import Installation
 from test.tasks.virtual_time import run_virtually
 
@@ -100,9 +100,9 @@
         leader = site.find_leader()
         assert leader is not None
         site.kill(leader)
-        lost_at = site.loop.time()
+        unavailable_since = site.loop.time()
         await site.wait_until(lambda: site.find_leader() is not None, 10.0)
-        replaced_s = site.loop.time() - lost_at
+        replaced_s = site.loop.time() - unavailable_since
         await site.stop()
         return replaced_s
 
--- a/test/tasks/test_serving_peers.py
+++ b/test/tasks/test_serving_peers.py
@@ -6,7 +6,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from chervilrock.decisions.serving.leadership import find_interval, find_pause
+from chervilrock.decisions.serving.leadership import find_interval, find_min_interval
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
     Announcement,
@@ -38,7 +38,7 @@
         revision=revision,
         has_traffic=True,
         is_stopping=False,
-        is_cut_from_store=False,
+        is_store_unreachable=False,
         lost_after_s=1.0,
         is_relay=False,
     )
@@ -53,7 +53,7 @@
         nodes_version=(1, 0),
         revision=1,
         loads={"s1": 2} if is_busy else {},
-        silent=(),
+        stalled=(),
         has_traffic=True,
         relayed=None,
     )
@@ -89,8 +89,8 @@
                 nodes=(),
                 nodes_version=(1, 0),
                 interval_s=interval_s,
-                busy_pause_s=find_pause(self._peers.count_busy(frozenset())),
-                idle_pause_s=find_pause(NODES),
+                busy_pause_s=find_min_interval(self._peers.count_busy(frozenset())),
+                idle_pause_s=find_min_interval(NODES),
             )
             self._peers.announce(update, self._now)
             for node in self._announced:
--- a/test/tasks/test_store_outages.py
+++ b/test/tasks/test_store_outages.py
@@ -16,7 +16,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import LessThan
 
-from chervilrock.decisions.serving.relays import LEAST_RELAYED
+from chervilrock.decisions.serving.relays import MAX_DIRECT_NODES
 from test.tasks.installation import Fault, Installation
 from test.tasks.virtual_time import run_virtually
 
@@ -152,7 +152,7 @@
     monkeypatch, length_s
 ) -> None:
     # Three data centres of more than eight nodes; long polls last 20 s.
-    outage = Outage(3 * (LEAST_RELAYED + 1), length_s, 0.7)
+    outage = Outage(3 * (MAX_DIRECT_NODES + 1), length_s, 0.7)
     outcome = run_virtually(run_outage(monkeypatch, outage))
     assert_that(outcome.lateness_s, LessThan(BOUND_S))
 
