--- a/chervilrock/decisions/membership/digests.py
+++ b/chervilrock/decisions/membership/digests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from chervilrock.decisions.membership.shelf import ShareBook
+from chervilrock.decisions.membership.localconfiguration import ShareTracker
 from chervilrock.decisions.membership.table import MemberTable
 from chervilrock.generated.interfaces import (
     DataCentreReport,
@@ -28,7 +28,7 @@
 class DigestWriter:
     """Writes the state that a node knows into digests."""
 
-    def __init__(self, *, table: MemberTable, shares: ShareBook) -> None:
+    def __init__(self, *, table: MemberTable, shares: ShareTracker) -> None:
         """Create a writer.
 
         Args:
--- a/chervilrock/decisions/membership/exchange.py
+++ b/chervilrock/decisions/membership/exchange.py
@@ -10,13 +10,13 @@
 
 from chervilrock.decisions.membership.digests import add_wants, DigestWriter
 from chervilrock.decisions.membership.links import Peer, PeerLinks
-from chervilrock.decisions.membership.promptness import ImmediateExchanges
-from chervilrock.decisions.membership.shelf import (
-    ConfigurationShelf,
-    ShareBook,
+from chervilrock.decisions.membership.immediate import ImmediateExchanges
+from chervilrock.decisions.membership.localconfiguration import (
+    LocalConfiguration,
+    ShareTracker,
 )
 from chervilrock.decisions.membership.table import MemberTable
-from chervilrock.decisions.membership.wanting import (
+from chervilrock.decisions.membership.fetchpolicy import (
     FetchPolicy,
     read_configuration,
 )
@@ -56,8 +56,8 @@
         *,
         table: MemberTable,
         links: PeerLinks,
-        shelf: ConfigurationShelf,
-        shares: ShareBook,
+        localconfiguration: LocalConfiguration,
+        shares: ShareTracker,
         generator: "random.Random",
     ) -> None:
         """Create the exchange of a node.
@@ -71,11 +71,11 @@
         """
         self._table = table
         self._links = links
-        self._configuration = shelf
+        self._configuration = localconfiguration
         self._shares = shares
         self._generator = generator
         self._writer = DigestWriter(table=table, shares=shares)
-        self._fetch_policy = FetchPolicy(shelf=shelf)
+        self._fetch_policy = FetchPolicy(localconfiguration=localconfiguration)
         self._immediate = ImmediateExchanges()
         self._begun_at: float | None = None
 
@@ -89,7 +89,7 @@
             self._make_message(peer, now) for peer in chosen if peer is not None
         )
 
-    def begin_prompt(self, now: float) -> Message | None:
+    def begin_immediate(self, now: float) -> Message | None:
         """Return a digest to send immediately, None if no peer is known."""
         peer = self._links.choose(now)
         return None if peer is None else self._make_message(peer, now)
@@ -107,7 +107,7 @@
         jitter = self._generator.uniform(*JITTER)
         return self._table.timing.interval_s * jitter
 
-    def wants_prompt(self) -> bool:
+    def is_immediate_due(self) -> bool:
         """Return whether an urgent update has to be sent immediately."""
         return self._immediate.is_due(
             revision=self._configuration.revision,
--- a/chervilrock/decisions/membership/wanting.py
+++ b/chervilrock/decisions/membership/fetchpolicy.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from chervilrock.decisions.membership.shelf import ConfigurationShelf
+from chervilrock.decisions.membership.localconfiguration import LocalConfiguration
 from chervilrock.generated.records import StoredRecord
 
 LOG_GRACE_S = 1.0
@@ -19,8 +19,8 @@
 class FetchPolicy:
     """Decides when to request a configuration that peers have."""
 
-    def __init__(self, *, shelf: ConfigurationShelf) -> None:
-        self._configuration = shelf
+    def __init__(self, *, localconfiguration: LocalConfiguration) -> None:
+        self._configuration = localconfiguration
         self._peer_revision = 0
         self._peer_revision_at = 0.0
 
--- a/chervilrock/decisions/membership/links.py
+++ b/chervilrock/decisions/membership/links.py
@@ -13,7 +13,7 @@
 
 from typing import NamedTuple, TYPE_CHECKING
 
-from chervilrock.decisions.membership.near import LocalMember
+from chervilrock.decisions.membership.localmembers import LocalMember
 from chervilrock.decisions.membership.table import MemberTable
 
 if TYPE_CHECKING:
--- a/chervilrock/decisions/membership/local.py
+++ b/chervilrock/decisions/membership/local.py
@@ -4,7 +4,7 @@
 
 from chervilrock.decisions.membership.clocks import Counter
 from chervilrock.decisions.membership.contact import Contact
-from chervilrock.decisions.membership.near import (
+from chervilrock.decisions.membership.localmembers import (
     LocalMembers,
     report_data_centre,
     report_heartbeats,
--- a/chervilrock/decisions/membership/shelf.py
+++ b/chervilrock/decisions/membership/localconfiguration.py
@@ -8,7 +8,7 @@
 from chervilrock.generated.records import StoredRecord
 
 
-class ConfigurationShelf(abc.ABC):
+class LocalConfiguration(abc.ABC):
     """The configuration of this node, as read and updated by exchanges."""
 
     @abc.abstractmethod
@@ -30,7 +30,7 @@
         return True
 
 
-class ShareBook(Protocol):
+class ShareTracker(Protocol):
     """Counts the requests of bounded workspaces at all nodes."""
 
     def shares(self, now: float) -> tuple[NodeUse, ...]:
--- a/chervilrock/decisions/membership/losses.py
+++ b/chervilrock/decisions/membership/losses.py
@@ -21,7 +21,7 @@
     recovered: tuple[PeerNode, ...]
 
 
-class LossWatch:
+class LossDetector:
     """Compares the live peers with those of the last check, by name."""
 
     def __init__(self) -> None:
--- a/chervilrock/decisions/membership/table.py
+++ b/chervilrock/decisions/membership/table.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.membership.clocks import TICK_S
-from chervilrock.decisions.membership.former import DroppedMembers
+from chervilrock.decisions.membership.dropped import DroppedMembers
 from chervilrock.decisions.membership.local import LocalDataCentre
-from chervilrock.decisions.membership.near import LocalMember
+from chervilrock.decisions.membership.localmembers import LocalMember
 from chervilrock.decisions.membership.remotes import RemoteDataCentres
 from chervilrock.decisions.membership.rosters import is_departing
 from chervilrock.decisions.membership.timing import (
--- a/chervilrock/decisions/membership/soundness.py
+++ b/chervilrock/decisions/membership/validation.py
@@ -16,7 +16,7 @@
 MAX_LIST_LENGTH = 2048
 
 
-def is_sound(digest: PeerDigest) -> bool:
+def is_valid_digest(digest: PeerDigest) -> bool:
     """Return whether all values of a digest are within their bounds."""
     lists = (
         digest.get("data_centres", ()),
--- a/chervilrock/node/parts.py
+++ b/chervilrock/node/parts.py
@@ -94,7 +94,7 @@
     peers = PeerTask(
         table=table,
         channel=HttpPeerChannel(http=core.http),
-        shelf=configuration,
+        localconfiguration=configuration,
         shares=admission,
         seeds=_list_seeds(core),
         clock=core.clock,
--- a/chervilrock/tasks/configurations.py
+++ b/chervilrock/tasks/configurations.py
@@ -28,7 +28,7 @@
     ReadFailed,
 )
 from chervilrock.tasks.outages import OutageLog
-from chervilrock.tasks.peers import ConfigurationShelf
+from chervilrock.tasks.peers import LocalConfiguration
 
 STREAM = "config"
 RETRY_S = 0.5
@@ -84,7 +84,7 @@
     effect_possible: bool
 
 
-class ConfigurationTask(ConfigurationShelf):
+class ConfigurationTask(LocalConfiguration):
     """Folds the stream and tells the others which configuration is in force.
 
     A configuration comes by the log or by a peer, whichever is first.
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -13,12 +13,12 @@
 from chervilrock.clients.httpclient import check_status, HttpClient
 from chervilrock.decisions.membership.exchange import Message, PeerExchange
 from chervilrock.decisions.membership.links import PeerLinks
-from chervilrock.decisions.membership.losses import LossWatch
-from chervilrock.decisions.membership.shelf import (
-    ConfigurationShelf,
-    ShareBook,
+from chervilrock.decisions.membership.losses import LossDetector
+from chervilrock.decisions.membership.localconfiguration import (
+    LocalConfiguration,
+    ShareTracker,
 )
-from chervilrock.decisions.membership.soundness import is_sound
+from chervilrock.decisions.membership.validation import is_valid_digest
 from chervilrock.decisions.membership.table import MemberTable
 from chervilrock.generated.interfaces import PeerDigest
 from chervilrock.tasks.clock import Clock
@@ -83,7 +83,7 @@
         digest = _DIGEST_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return Failure(PlatformError(PlatformErrorKind.BAD_ANSWER, str(error)))
-    if not is_sound(digest):
+    if not is_valid_digest(digest):
         message = "a value of the digest is out of bounds"
         return Failure(PlatformError(PlatformErrorKind.BAD_ANSWER, message))
     return Success(digest)
@@ -97,8 +97,8 @@
         *,
         table: MemberTable,
         channel: PeerChannel,
-        shelf: ConfigurationShelf,
-        shares: ShareBook,
+        localconfiguration: LocalConfiguration,
+        shares: ShareTracker,
         seeds: tuple[str, ...],
         clock: Clock,
         generator: "random.Random",
@@ -120,14 +120,14 @@
         self._channel = channel
         self._clock = clock
         self._before_exchange = before_exchange
-        self._losses = LossWatch()
+        self._losses = LossDetector()
         self._under_way: set[asyncio.Task[None]] = set()
         self._error: BaseException | None = None
         self._links = PeerLinks(table=table, seeds=seeds, generator=generator)
         self._exchange = PeerExchange(
             table=table,
             links=self._links,
-            shelf=shelf,
+            localconfiguration=localconfiguration,
             shares=shares,
             generator=generator,
         )
@@ -154,12 +154,12 @@
         self._log_changes(now)
         self._start(messages)
 
-    def begin_prompt(self) -> None:
+    def begin_immediate(self) -> None:
         """Begin an exchange at once, if there is urgent news."""
-        if self._under_way or not self._exchange.wants_prompt():
+        if self._under_way or not self._exchange.is_immediate_due():
             return
         self._before_exchange()
-        message = self._exchange.begin_prompt(self._clock())
+        message = self._exchange.begin_immediate(self._clock())
         if message is not None:
             self._start((message,))
 
@@ -188,7 +188,7 @@
         while (left := until - self._clock()) > 0:
             await asyncio.sleep(min(left, PROMPT_POLL_S))
             self.raise_error()
-            self.begin_prompt()
+            self.begin_immediate()
 
     def _start(self, messages: Iterable[Message]) -> None:
         for message in messages:
--- a/test/decisions/membership/peer_world.py
+++ b/test/decisions/membership/peer_world.py
@@ -6,7 +6,7 @@
 
 from chervilrock.decisions.membership.exchange import Message, PeerExchange
 from chervilrock.decisions.membership.links import PeerLinks
-from chervilrock.decisions.membership.shelf import ConfigurationShelf
+from chervilrock.decisions.membership.localconfiguration import LocalConfiguration
 from chervilrock.decisions.membership.table import MemberTable
 from chervilrock.generated.interfaces import NodePhase, NodeUse, PeerDigest
 from chervilrock.generated.records import (
@@ -33,7 +33,7 @@
     )
 
 
-class Shelf(ConfigurationShelf):
+class FakeConfiguration(LocalConfiguration):
     """A configuration that records the revisions it was asked to adopt."""
 
     def __init__(self, *, follows: bool = False) -> None:
@@ -57,7 +57,7 @@
         return self.follows
 
 
-class Shares:
+class FakeShareTracker:
     """A share tracker that records the uses and members it receives."""
 
     def __init__(self) -> None:
@@ -96,8 +96,8 @@
         self.name = name
         self.incarnation = f"{name}.{start}"
         self.address = f"{name}:1"
-        self.shelf = Shelf(follows=follows)
-        self.shares = Shares()
+        self.localconfiguration = FakeConfiguration(follows=follows)
+        self.shares = FakeShareTracker()
         self.paused = False
         self.lag_s = 0.0
         generator = random.Random(f"{name}.{start}")
@@ -116,7 +116,7 @@
         self.exchange = PeerExchange(
             table=self.table,
             links=self.links,
-            shelf=self.shelf,
+            localconfiguration=self.localconfiguration,
             shares=self.shares,
             generator=generator,
         )
@@ -126,7 +126,7 @@
         self.table.update_own(
             phase=phase or own.phase,
             load=own.load,
-            revision=self.shelf.revision,
+            revision=self.localconfiguration.revision,
         )
 
     def see_live(self, now: float) -> set[str]:
@@ -180,10 +180,10 @@
     def run_immediate(self, node: SimNode) -> None:
         """Runs the immediate exchanges of a node."""
         for _ in range(12):
-            if not node.exchange.wants_prompt():
+            if not node.exchange.is_immediate_due():
                 return
             node.update()
-            message = node.exchange.begin_prompt(self.clock(node))
+            message = node.exchange.begin_immediate(self.clock(node))
             if message is None:
                 return
             self.carry(node, message)
--- a/test/decisions/membership/test_membership.py
+++ b/test/decisions/membership/test_membership.py
@@ -276,10 +276,10 @@
 def test_a_configuration_reaches_all_nodes_and_is_sent_once(
     world: World,
 ) -> None:
-    world.nodes["d1n0:1"].shelf.adopt(make_stored(1), world.now)
+    world.nodes["d1n0:1"].localconfiguration.adopt(make_stored(1), world.now)
     world.run(3.0)
     for node in world.active():
-        assert_that(node.shelf.adopted_revisions, Equals([1]))
+        assert_that(node.localconfiguration.adopted_revisions, Equals([1]))
     revisions = {
         peer.revision for peer in world.nodes["d3n0:1"].table.live(world.now)
     }
@@ -288,7 +288,7 @@
 
 def test_an_older_configuration_is_not_adopted(world: World) -> None:
     for revision in (1, 2):
-        world.nodes["d1n0:1"].shelf.adopt(make_stored(revision), world.now)
+        world.nodes["d1n0:1"].localconfiguration.adopt(make_stored(revision), world.now)
         world.run(3.0)
     old = PeerDigest(
         sender=make_node("d1n1", incarnation="d1n1.1", revision=1),
@@ -296,17 +296,17 @@
     )
     for node in world.active():
         node.exchange.answer(old, world.now)
-        assert_that(node.shelf.revision, Equals(2))
+        assert_that(node.localconfiguration.revision, Equals(2))
 
 
 def test_a_node_that_follows_the_log_waits_for_it_first(world: World) -> None:
     node = world.nodes["d2n0:1"]
-    node.shelf.follows = True
-    world.nodes["d2n1:1"].shelf.adopt(make_stored(1), world.now)
+    node.localconfiguration.follows = True
+    world.nodes["d2n1:1"].localconfiguration.adopt(make_stored(1), world.now)
     world.run(0.5)
-    assert_that(node.shelf.adopted_revisions, HasLength(0))
+    assert_that(node.localconfiguration.adopted_revisions, HasLength(0))
     world.run(4.0)
-    assert_that(node.shelf.adopted_revisions, Equals([1]))
+    assert_that(node.localconfiguration.adopted_revisions, Equals([1]))
 
 
 def test_members_are_sent_only_when_they_changed(world: World) -> None:
--- a/test/decisions/membership/test_membership_machine.py
+++ b/test/decisions/membership/test_membership_machine.py
@@ -111,7 +111,7 @@
         node = self.choose(number)
         if node is not None:
             self.revision += 1
-            node.shelf.adopt(make_stored(self.revision), self.world.now)
+            node.localconfiguration.adopt(make_stored(self.revision), self.world.now)
             node.update()
 
     @precondition(lambda self: self.world.carried)
@@ -134,13 +134,13 @@
         running = {node.incarnation for node in self.world.active()}
         for node in self.world.active():
             assert node.see_live(self.world.now) == running
-            assert node.shelf.revision == self.newest()
+            assert node.localconfiguration.revision == self.newest()
             for peer in node.table.live(self.world.now):
                 assert peer.revision == self.newest()
                 assert peer.phase == self.phase_of(peer.incarnation)
 
     def newest(self) -> int:
-        return max(n.shelf.revision for n in self.world.nodes.values())
+        return max(n.localconfiguration.revision for n in self.world.nodes.values())
 
     def phase_of(self, incarnation: str) -> NodePhase:
         for node in self.world.nodes.values():
@@ -177,8 +177,8 @@
     def revisions_only_go_up(self) -> None:
         for node in self.world.nodes.values():
             known = self.revisions.get(node.incarnation, 0)
-            assert node.shelf.revision >= known
-            self.revisions[node.incarnation] = node.shelf.revision
+            assert node.localconfiguration.revision >= known
+            self.revisions[node.incarnation] = node.localconfiguration.revision
 
     @invariant()
     def a_node_knows_itself(self) -> None:
--- a/test/tasks/test_peers.py
+++ b/test/tasks/test_peers.py
@@ -33,7 +33,7 @@
 )
 from chervilrock.tasks.peers import decode_digest, PeerChannel, PeerTask
 from test.decisions.membership.peer_nodes import make_node
-from test.decisions.membership.peer_world import make_stored, Shares, Shelf
+from test.decisions.membership.peer_world import make_stored, FakeShareTracker, FakeConfiguration
 
 STEP_S = 0.5
 REFUSED: Result[PeerDigest, PlatformError] = Failure(
@@ -76,26 +76,26 @@
         self.now = 100.0
         self.wire = Wire()
         self.tables: dict[str, MemberTable] = {}
-        self.shelves: dict[str, Shelf] = {}
+        self.shelves: dict[str, FakeConfiguration] = {}
 
     def add(self, name: str, seeds: tuple[str, ...]) -> PeerTask:
         table = MemberTable(own=make_node(name))
-        shelf = Shelf()
+        localconfiguration = FakeConfiguration()
         task = PeerTask(
             table=table,
             channel=self.wire,
-            shelf=shelf,
-            shares=Shares(),
+            localconfiguration=localconfiguration,
+            shares=FakeShareTracker(),
             seeds=seeds,
             clock=lambda: self.now,
             generator=random.Random(name),
             before_exchange=lambda: table.update_own(
-                phase=table.own.phase, load=0.0, revision=shelf.revision
+                phase=table.own.phase, load=0.0, revision=localconfiguration.revision
             ),
         )
         address = table.own.address
         self.wire.tasks[address] = task
-        self.tables[name], self.shelves[name] = table, shelf
+        self.tables[name], self.shelves[name] = table, localconfiguration
         return task
 
     async def run(self, seconds: float) -> None:
@@ -106,7 +106,7 @@
             for task in list(self.wire.tasks.values()):
                 task.begin()
                 await task.settle()
-                task.begin_prompt()
+                task.begin_immediate()
                 await task.settle()
 
     def see(self, name: str) -> list[str]:
@@ -177,8 +177,8 @@
 def test_a_configuration_travels_only_to_who_asks(site: Site) -> None:
     async def drive() -> None:
         await site.run(5.0)
-        for shelf in (site.shelves["a"], site.shelves["b"]):
-            shelf.adopt(make_stored(1), site.now)
+        for localconfiguration in (site.shelves["a"], site.shelves["b"]):
+            localconfiguration.adopt(make_stored(1), site.now)
         site.wire.sent.clear()
         await site.run(5.0)
 
