--- a/chervilrock/decisions/configurations.py
+++ b/chervilrock/decisions/configurations.py
@@ -132,7 +132,7 @@
             return _answer(VerdictKind.REJECTED, offset, Reason.UNREADABLE)
         if not self._seen.add(stored.record.record_id):
             return ConfigurationVerdict(
-                Verdict(VerdictKind.DOUBLED, offset, body=body)
+                Verdict(VerdictKind.DUPLICATE, offset, body=body)
             )
         if stored.record.kind is RecordKind.SNAPSHOT_PART:
             return ConfigurationVerdict(
@@ -176,7 +176,7 @@
         self.upto = adopted.revision
         return True
 
-    def inherit(self, other: "ConfigurationFold") -> None:
+    def carry_over(self, other: "ConfigurationFold") -> None:
         """Adopt the configuration in force in another fold of the stream."""
         accepted = other.in_force
         if accepted is not None:
--- a/chervilrock/decisions/control/release.py
+++ b/chervilrock/decisions/control/release.py
@@ -67,10 +67,10 @@
         if host in assigned or not context.region.is_free(host):
             continue
         evidence = context.find_evidence(host)
-        if evidence is None or evidence.own_shard is None:
+        if evidence is None or evidence.common_shard is None:
             continue
         if not context.checks_fence(host):
-            shard = evidence.own_shard
+            shard = evidence.common_shard
             ownership = Ownership(shard["group"], 0, revoked=shard["fence"])
             yield from _unload(context, host, ownership)
 
@@ -144,4 +144,4 @@
 
 
 def _is_empty(evidence: Evidence) -> bool:
-    return evidence.phase == EnginePhase.EMPTY and evidence.own_shard is None
+    return evidence.phase == EnginePhase.EMPTY and evidence.common_shard is None
--- a/chervilrock/decisions/control/spares.py
+++ b/chervilrock/decisions/control/spares.py
@@ -184,7 +184,7 @@
     evidence = context.find_evidence(host)
     if evidence is None or not context.checks_fence(host):
         return False
-    return evidence.phase == EnginePhase.EMPTY and evidence.own_shard is None
+    return evidence.phase == EnginePhase.EMPTY and evidence.common_shard is None
 
 
 def _find_domain(entry: HostEntry) -> _Domain:
--- a/chervilrock/decisions/controller.py
+++ b/chervilrock/decisions/controller.py
@@ -88,7 +88,7 @@
         actions=actions,
         progress=pending,
         idle=idle,
-        quiet_at=lease.taker.quiet_at,
+        quiet_at=lease.observer.quiet_at,
         lease_ends_at=lease.holder.until,
         timing=timing,
         now=now,
--- a/chervilrock/decisions/evidence.py
+++ b/chervilrock/decisions/evidence.py
@@ -37,20 +37,20 @@
     phase: EnginePhase
     fence: int
     checks_fence: bool
-    own_shard: EngineShard | None
+    common_shard: EngineShard | None
     rank: int = _ANY_RANK
 
     @property
     def shard(self) -> EngineShard | None:
         """Shard that is loaded or loading, None if there is none."""
-        if self.own_shard is None:
+        if self.common_shard is None:
             return None
-        return EngineShard(**{**self.own_shard, "rank": self.rank})
+        return EngineShard(**{**self.common_shard, "rank": self.rank})
 
     def holds_rank(self, group: Group, rank: int) -> bool:
         """Return whether the engine has this rank of a group."""
         return self.rank == rank and holds_rank(
-            self.own_shard, group, _ANY_RANK
+            self.common_shard, group, _ANY_RANK
         )
 
     def agrees_with(self, state: EngineState) -> bool:
@@ -64,7 +64,7 @@
         )
 
     def _has_shard(self, shard: EngineShard | None) -> bool:
-        own = self.own_shard
+        own = self.common_shard
         if shard is None or own is None:
             return shard is own
         return (
@@ -131,7 +131,7 @@
         phase=state["phase"],
         fence=state["fence"],
         checks_fence=state["checks_fence"],
-        own_shard=None if shard is None else pool.share(shard),
+        common_shard=None if shard is None else pool.share(shard),
         rank=_ANY_RANK if shard is None else shard["rank"],
     )
 
--- a/chervilrock/decisions/lease.py
+++ b/chervilrock/decisions/lease.py
@@ -126,7 +126,7 @@
         return self.epoch != 0 and now < self.until
 
 
-class LeaseTaker:
+class LeaseObserver:
     """The lease of another node, as measured by a node that may claim it.
 
     Attributes:
@@ -200,10 +200,10 @@
             claims later.
         """
         self.holder = LeaseHolder(lease_s=timing.lease_s)
-        self.taker = LeaseTaker(
+        self.observer = LeaseObserver(
             drift=timing.drift, order_timeout_s=timing.order_timeout_s
         )
-        self.granted = 0
+        self.granted_epoch = 0
         self._timing = timing
         self._writer = writer
         self._generator = generator
@@ -221,14 +221,14 @@
         """
         if epoch == 0:
             return
-        if epoch == self.taker.epoch:
+        if epoch == self.observer.epoch:
             # The snapshot may omit renewals, so the wait restarts.
-            self.taker.note_renewal(now)
+            self.observer.note_renewal(now)
             return
         longest = max(lease_s or 0.0, self._timing.lease_s)
-        self.taker.note_snapshot(epoch, longest, now)
-        if self.granted != epoch:
-            self.granted = 0
+        self.observer.note_snapshot(epoch, longest, now)
+        if self.granted_epoch != epoch:
+            self.granted_epoch = 0
             self.holder.drop()
 
     def read(self, record_id: RecordId, verdict: Verdict, now: float) -> None:
@@ -241,21 +241,21 @@
             return
         if isinstance(body, ControllerClaimed):
             self._delay_s = self._draw_delay()
-            self.taker.note_claim(
+            self.observer.note_claim(
                 verdict.offset, body.lease_ms / _MS_PER_S, now
             )
-            self.granted = verdict.offset if is_own else 0
+            self.granted_epoch = verdict.offset if is_own else 0
             if is_own:
                 self.holder.note_accepted(record_id, verdict.offset)
             else:
                 self.holder.drop()
         elif isinstance(body, ControllerRenewed):
-            self.taker.note_renewal(now)
+            self.observer.note_renewal(now)
             if is_own:
                 self.holder.note_accepted(record_id, body.epoch)
         elif isinstance(body, ControllerReleased):
-            self.taker.note_release(now)
-            self.granted = 0
+            self.observer.note_release(now)
+            self.granted_epoch = 0
             self.holder.drop()
 
     def may_act(self, now: float) -> bool:
@@ -279,7 +279,7 @@
             return self._renew_or_act(now)
         if holder.is_waiting(now):
             return LeaseDecision(LeaseStep.WAIT, now + self._timing.lease_s)
-        claim_at = max(self.taker.over_at, self._known_since) + self._delay_s
+        claim_at = max(self.observer.over_at, self._known_since) + self._delay_s
         if now < claim_at:
             return LeaseDecision(LeaseStep.WAIT, claim_at)
         return LeaseDecision(LeaseStep.CLAIM, now)
--- a/chervilrock/decisions/outage.py
+++ b/chervilrock/decisions/outage.py
@@ -83,7 +83,7 @@
     """
     if out_since is None or now < out_since + timing.out_after_s:
         return ()
-    if region.epoch == 0 or lease.granted != region.epoch:
+    if region.epoch == 0 or lease.granted_epoch != region.epoch:
         return ()
     outage = _OutageContext(
         region=region,
@@ -173,7 +173,7 @@
         return False
     if not outage.presence.is_unchanged(group, host, outage.now):
         return False
-    empty = evidence.phase == EnginePhase.EMPTY and evidence.own_shard is None
+    empty = evidence.phase == EnginePhase.EMPTY and evidence.common_shard is None
     return empty and evidence.fence < group.reserve
 
 
--- a/chervilrock/decisions/presence.py
+++ b/chervilrock/decisions/presence.py
@@ -74,7 +74,7 @@
         self._changed.add(host)
         self._note_ready(host, evidence)
 
-    def settle(self, group: Group) -> None:
+    def intern_incarnations(self, group: Group) -> None:
         """Share the incarnations of a whole group with its record.
 
         The recorded incarnations equal those of the evidence. Storing the
@@ -90,7 +90,7 @@
         if not self._ready:
             self._ready = {}
 
-    def take_changed(self) -> set[str]:
+    def pop_changed(self) -> set[str]:
         """Return and reset the hosts whose evidence has changed.
 
         A host whose evidence was only confirmed is not included, nor is one
@@ -112,7 +112,7 @@
         for host in self._ready.keys() - hosts:
             del self._ready[host]
         self._shards.retain(
-            evidence.own_shard for evidence in self._evidence.values()
+            evidence.common_shard for evidence in self._evidence.values()
         )
 
     def find_expiry(self, hosts: tuple[str, ...]) -> float:
@@ -187,9 +187,9 @@
         ranks: dict[int, str] = {}
         for host in (*group.hosts, *group.spares):
             evidence = self.find(host, now)
-            if evidence is None or evidence.own_shard is None:
+            if evidence is None or evidence.common_shard is None:
                 continue
-            if evidence.own_shard["fence"] != group.reserve:
+            if evidence.common_shard["fence"] != group.reserve:
                 continue
             unchanged = self.is_unchanged(group, host, now)
             if evidence.rank in ranks or not unchanged:
@@ -264,7 +264,7 @@
         return evidence
 
     def _note_ready(self, host: str, evidence: Evidence) -> None:
-        shard = evidence.own_shard
+        shard = evidence.common_shard
         if shard is None or evidence.phase != EnginePhase.READY:
             return
         known = self._ready.get(host)
--- a/chervilrock/decisions/region.py
+++ b/chervilrock/decisions/region.py
@@ -64,7 +64,7 @@
         if body is None:
             return Verdict(VerdictKind.REJECTED, offset, Reason.UNREADABLE)
         if not self._seen.add(stored.record.record_id):
-            return Verdict(VerdictKind.DOUBLED, offset, body=body)
+            return Verdict(VerdictKind.DUPLICATE, offset, body=body)
         reason = self._apply_rule(body, offset)
         kind = VerdictKind.REJECTED if reason else VerdictKind.ACCEPTED
         return Verdict(kind, offset, reason, body)
@@ -78,7 +78,7 @@
         del first_offset
         return False
 
-    def inherit(self, other: "RegionState") -> None:
+    def carry_over(self, other: "RegionState") -> None:
         """Do nothing, as all state of a region is in the log."""
 
     def export(self) -> str:
--- a/chervilrock/decisions/streams.py
+++ b/chervilrock/decisions/streams.py
@@ -32,7 +32,7 @@
     def resume(self, first_offset: int) -> bool:
         """Skip lost records if their effect on the state is known."""
 
-    def inherit(self, other: Self) -> None:
+    def carry_over(self, other: Self) -> None:
         """Adopt state of an earlier fold that did not come from the log."""
 
     def export(self) -> str:
@@ -176,7 +176,7 @@
             return False
         if fold.upto != snapshot.upto:
             return False
-        fold.inherit(self.fold)
+        fold.carry_over(self.fold)
         self.fold = fold
         self.position = fold.upto + 1
         self._searching = False
--- a/chervilrock/decisions/verdicts.py
+++ b/chervilrock/decisions/verdicts.py
@@ -10,7 +10,7 @@
     """What a fold did with a record."""
 
     ACCEPTED = "accepted"
-    DOUBLED = "doubled"
+    DUPLICATE = "doubled"
     REJECTED = "rejected"
     SKIPPED = "skipped"
 
--- a/chervilrock/decisions/views.py
+++ b/chervilrock/decisions/views.py
@@ -29,7 +29,7 @@
     until: float
 
 
-class Change(NamedTuple):
+class EndpointChange(NamedTuple):
     """Result of an update of the endpoints.
 
     Attributes:
@@ -39,7 +39,7 @@
     """
 
     groups: bool
-    ends: bool
+    expiries: bool
 
 
 class _Entry:
@@ -92,7 +92,7 @@
         hosts: Mapping[str, HostEntry],
         changed: Iterable[str],
         now: float,
-    ) -> Change:
+    ) -> EndpointChange:
         """Bring the endpoints up to date.
 
         Args:
@@ -115,8 +115,8 @@
         for name in stale & self._entries.keys():
             self._update_entry(self._entries[name], now)
         if not stale and not due:
-            return Change(groups=False, ends=False)
-        return Change(groups=self._rebuild_endpoints(now), ends=due)
+            return EndpointChange(groups=False, expiries=False)
+        return EndpointChange(groups=self._rebuild_endpoints(now), expiries=due)
 
     def list_servable(self) -> Iterator[Group]:
         """Yield the groups that may serve, even with a leaving host."""
@@ -177,7 +177,7 @@
             entry.until = _NEVER
             entry.endpoint = None
             return
-        self._presence.settle(servable)
+        self._presence.intern_incarnations(servable)
         entry.until = self._presence.find_expiry(servable.hosts)
         endpoint = self._make_endpoint(servable)
         if endpoint != entry.endpoint:
--- a/chervilrock/tasks/configurations.py
+++ b/chervilrock/tasks/configurations.py
@@ -199,7 +199,7 @@
         for step in result.steps:
             record_id = step.stored.record.record_id
             self._note_loss(step.verdict)
-            if step.verdict.kind is VerdictKind.DOUBLED:
+            if step.verdict.kind is VerdictKind.DUPLICATE:
                 continue
             pending = self._pending.pop(record_id, None)
             if pending is None or pending.command.reply.done():
--- a/chervilrock/tasks/region.py
+++ b/chervilrock/tasks/region.py
@@ -295,7 +295,7 @@
 
     def _control_region(self, ports: RegionPorts, now: float) -> None:
         """Control the region if this node was granted its epoch."""
-        if not self._lease.granted or self._configuration is None:
+        if not self._lease.granted_epoch or self._configuration is None:
             return
         if self._keeper.stopping or not self._reader.known:
             return
--- a/chervilrock/tasks/region_views.py
+++ b/chervilrock/tasks/region_views.py
@@ -8,7 +8,7 @@
 from chervilrock.decisions.ownership import Group
 from chervilrock.decisions.presence import PresenceTable
 from chervilrock.decisions.region import RegionState
-from chervilrock.decisions.views import Change, EndpointTable
+from chervilrock.decisions.views import EndpointChange, EndpointTable
 from chervilrock.generated.configuration import ModelSpec
 from chervilrock.generated.interfaces import HostEntry, ServiceEntry
 from chervilrock.generated.records import GroupPhase
@@ -79,7 +79,7 @@
         Returns:
           Whether the evidence of a host or the groups for requests changed.
         """
-        changed = self._presence.take_changed()
+        changed = self._presence.pop_changed()
         change = self.endpoints.update(
             picture.region, picture.hosts, changed, now
         )
@@ -132,9 +132,9 @@
         for mailbox in ports.views:
             mailbox.offer(view)
 
-    def _note(self, picture: RegionPicture, change: Change, now: float) -> None:
+    def _note(self, picture: RegionPicture, change: EndpointChange, now: float) -> None:
         """Log and measure what has changed."""
-        if change.groups or change.ends:
+        if change.groups or change.expiries:
             broken = self.endpoints.list_broken()
             self._events.note_presence(broken, self._presence, now)
         if change.groups or self._meter.is_due(now):
--- a/test/decisions/control/test_configurations.py
+++ b/test/decisions/control/test_configurations.py
@@ -47,7 +47,7 @@
 def test_a_record_sent_again_is_not_its_own_loser(fold, log):
     fold.apply(log[0])
     again = fold.judge(StoredRecord(2, log[0].record))
-    assert_that(again.verdict.kind, Is(VerdictKind.DOUBLED))
+    assert_that(again.verdict.kind, Is(VerdictKind.DUPLICATE))
     assert_that(again.winner, Is(None))
 
 
--- a/test/decisions/control/test_lease.py
+++ b/test/decisions/control/test_lease.py
@@ -11,7 +11,7 @@
 from chervilrock.decisions.lease import (
     LeaseHolder,
     LeaseStep,
-    LeaseTaker,
+    LeaseObserver,
     LeaseTiming,
     LeaseView,
 )
@@ -51,11 +51,11 @@
     sent, delay, rate, other
 ):
     holder = LeaseHolder(lease_s=3.0)
-    taker = LeaseTaker(drift=0.01, order_timeout_s=2.0)
+    observer = LeaseObserver(drift=0.01, order_timeout_s=2.0)
     holder.note_sent(MINE, sent * rate)
     holder.note_accepted(MINE, 5)
-    taker.note_claim(5, 3.0, (sent + delay) * other)
-    over = taker.over_at / other
+    observer.note_claim(5, 3.0, (sent + delay) * other)
+    over = observer.over_at / other
     assert not holder.may_act(over * rate + 1e-6)
 
 
@@ -65,7 +65,7 @@
     view.read(MINE, claim(4), 12.5)
     assert view.may_act(12.9)
     assert_that(view.may_act(13.0), Is(False))
-    assert_that(view.granted, Equals(4))
+    assert_that(view.granted_epoch, Equals(4))
 
 
 def test_a_paused_holder_finds_its_lease_over(view):
@@ -85,7 +85,7 @@
     view.read(MINE, claim(4), 10.1)
     view.read(OTHER, claim(7), 10.2)
     assert_that(view.may_act(10.2), Is(False))
-    assert_that(view.granted, Equals(0))
+    assert_that(view.granted_epoch, Equals(0))
 
 
 def test_nobody_claims_before_the_stream_is_known(view):
@@ -112,9 +112,9 @@
 
 def test_a_released_lease_can_be_taken_at_once(view):
     view.read(OTHER, claim(4), 10.0)
-    assert_that(view.taker.is_over(12.9), Is(False))
+    assert_that(view.observer.is_over(12.9), Is(False))
     view.read(OTHER, accepted(5, ControllerReleased(4)), 11.0)
-    assert view.taker.is_over(11.0)
+    assert view.observer.is_over(11.0)
 
 
 def test_orders_of_earlier_controllers_end_before_the_quiet_time(view):
@@ -122,10 +122,10 @@
     view.read(OTHER, accepted(5, ControllerRenewed(4)), 12.0)
     view.holder.note_sent(MINE, 16.0)
     view.read(MINE, claim(9), 16.1)
-    assert_that(view.taker.quiet_at, Equals(12.0 + 3.0 * 1.01 + 2.0))
+    assert_that(view.observer.quiet_at, Equals(12.0 + 3.0 * 1.01 + 2.0))
 
 
 def test_a_snapshot_tells_of_a_lease_that_may_still_run(view):
     view.adopt(4, 3.0, 20.0)
-    assert_that(view.taker.is_over(23.0), Is(False))
-    assert_that(view.taker.quiet_at, Equals(20.0 + 3.0 * 1.01 + 2.0))
+    assert_that(view.observer.is_over(23.0), Is(False))
+    assert_that(view.observer.quiet_at, Equals(20.0 + 3.0 * 1.01 + 2.0))
--- a/test/decisions/control/test_region.py
+++ b/test/decisions/control/test_region.py
@@ -171,7 +171,7 @@
     )
     assert driver.state.apply(StoredRecord(2, record)).accepted
     again = driver.state.apply(StoredRecord(3, record))
-    assert_that(again.kind, Is(VerdictKind.DOUBLED))
+    assert_that(again.kind, Is(VerdictKind.DUPLICATE))
     passed = driver.state.apply(StoredRecord(2, record))
     assert_that(passed.kind, Is(VerdictKind.SKIPPED))
     assert_that(driver.state.upto, Equals(3))
--- a/test/decisions/control/test_safety.py
+++ b/test/decisions/control/test_safety.py
@@ -6,7 +6,7 @@
 
 from chervilrock.decisions import configurations, region_rules
 from chervilrock.decisions.control import release
-from chervilrock.decisions.lease import LeaseHolder, LeaseTaker
+from chervilrock.decisions.lease import LeaseHolder, LeaseObserver
 from chervilrock.decisions.presence import PresenceTable
 from chervilrock.decisions.streams import StreamReader
 from chervilrock.decisions.verdicts import VerdictKind
@@ -68,7 +68,7 @@
 def skip_lease_wait(patch):
     """Take a lease over without waiting for its end."""
     over_at = property(lambda self: 0.0, lambda self, value: None)
-    patch.setattr(LeaseTaker, "over_at", over_at, raising=False)
+    patch.setattr(LeaseObserver, "over_at", over_at, raising=False)
 
 
 def skip_quiet_wait(patch):
--- a/test/decisions/control/test_views.py
+++ b/test/decisions/control/test_views.py
@@ -83,7 +83,7 @@
         self.presence.observe(host, state, self.now - late, self.now)
 
     def update(self):
-        changed = self.presence.take_changed()
+        changed = self.presence.pop_changed()
         return self.table.update(self.region, self.hosts, changed, self.now)
 
     def served(self):
@@ -129,10 +129,10 @@
     site.now = 10.1
     site.probe("h0", group, 0)
     site.probe("h1", group, 1)
-    assert_that(site.update().ends, Is(False))
+    assert_that(site.update().expiries, Is(False))
     site.now = 10.0 + LIMIT / REFRESHES_PER_LIMIT
     change = site.update()
-    assert_that((change.groups, change.ends), Equals((False, True)))
+    assert_that((change.groups, change.expiries), Equals((False, True)))
     assert_that(site.table.endpoints[0].until, Equals(10.1 + LIMIT))
 
 
