--- a/bench/entry_model.py
+++ b/bench/entry_model.py
@@ -306,7 +306,9 @@
         endpoint = request.attempts[number]
         now = self.now + self._latency(node, endpoint)
         waited_s = now - request.sent_at[number]
-        self.policies[node].on_first_token(request.view, endpoint, now, waited_s)
+        self.policies[node].on_first_token(
+            request.view, endpoint, now, waited_s
+        )
         self.admissions[node].observe_first_token(
             request.view.request_id, endpoint.group, waited_s, now
         )
--- a/chervilrock/clients/curlloop.py
+++ b/chervilrock/clients/curlloop.py
@@ -55,17 +55,17 @@
         if self._closed or timeout_ms < 0:
             return
         if timeout_ms == 0:
-            self._timer = self._loop.call_soon(self._note_time)
+            self._timer = self._loop.call_soon(self._record_time)
             return
         delay_s = timeout_ms / _MS_PER_S
-        self._timer = self._loop.call_later(delay_s, self._note_time)
+        self._timer = self._loop.call_later(delay_s, self._record_time)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _note_time(self) -> None:
+    def _record_time(self) -> None:
         self._timer = None
         self._act(pycurl.SOCKET_TIMEOUT, 0)
         # The clock of the event loop may be a little ahead of libcurl's, which
--- a/chervilrock/clients/curlpool.py
+++ b/chervilrock/clients/curlpool.py
@@ -78,7 +78,7 @@
         """
         index = self._take()
         ended = self._clients[index].fetch(request, raise_error=False)
-        ended.add_done_callback(lambda one: self._note_end(index, one))
+        ended.add_done_callback(lambda one: self._record_end(index, one))
         return ended
 
     def close(self) -> None:
@@ -95,7 +95,7 @@
         self._running[index] += 1
         return index
 
-    def _note_end(
+    def _record_end(
         self, index: int, ended: "asyncio.Future[HTTPResponse]"
     ) -> None:
         """Count a request as ended, whether or not somebody waits for it."""
--- a/chervilrock/clients/httpclient.py
+++ b/chervilrock/clients/httpclient.py
@@ -68,7 +68,7 @@
         self.value = ""
         self._wanted = wanted.lower().encode()
 
-    def note_line(self, line: bytes) -> None:
+    def record_line(self, line: bytes) -> None:
         """Callback of libcurl for each line of the header."""
         wanted = self._wanted
         if wanted and line[: len(wanted) + 1].lower() == wanted + b":":
@@ -150,7 +150,7 @@
 
         def prepare(curl: pycurl.Curl) -> None:
             guard.prepare(curl)
-            curl.setopt(pycurl.HEADERFUNCTION, answer_headers.note_line)
+            curl.setopt(pycurl.HEADERFUNCTION, answer_headers.record_line)
 
         request = HTTPRequest(
             url,
--- a/chervilrock/clients/sendguard.py
+++ b/chervilrock/clients/sendguard.py
@@ -38,12 +38,12 @@
     def prepare(self, curl: pycurl.Curl) -> None:
         """Sets up a handle; the `prepare_curl_callback` of a request."""
         curl.setopt(pycurl.NOPROXY, "*")
-        curl.setopt(pycurl.PREREQFUNCTION, self._note_send)
+        curl.setopt(pycurl.PREREQFUNCTION, self._record_send)
         if self._fresh:
             curl.setopt(pycurl.FRESH_CONNECT, 1)
             curl.setopt(pycurl.FORBID_REUSE, 1)
 
-    def _note_send(self, *_addresses: object) -> int:
+    def _record_send(self, *_addresses: object) -> int:
         if self.sent and self._once:
             return _ABORT
         self.sent = True
--- a/chervilrock/decisions/control/context.py
+++ b/chervilrock/decisions/control/context.py
@@ -93,7 +93,9 @@
         key = (group.name, group.fence)
         known = self.whole_groups.get(key)
         if known is None:
-            known = self.whole_groups[key] = self.presence.whole(group, self.now)
+            known = self.whole_groups[key] = self.presence.whole(
+                group, self.now
+            )
         return known
 
     def is_serving(self, group: Group) -> bool:
--- a/chervilrock/decisions/control/progress.py
+++ b/chervilrock/decisions/control/progress.py
@@ -125,7 +125,7 @@
         self._unloads: dict[str, float] = {}
         self._stable: dict[WatchKey, StableValue] = {}
 
-    def note_appended(
+    def record_appended(
         self, body: Body, record_id: RecordId, now: float
     ) -> None:
         """Record that a record is being appended."""
@@ -138,7 +138,7 @@
         self._pending[key] = PendingRecord(body, record_id, now)
         self._keys[record_id] = key
 
-    def note_read(self, record_id: RecordId) -> None:
+    def record_read(self, record_id: RecordId) -> None:
         """Record that a record was read back, whether accepted or not."""
         key = self._keys.pop(record_id, None)
         if key is not None:
@@ -173,7 +173,7 @@
             if now < pending.since + self._pending_s:
                 yield pending.body
 
-    def note_ordered(self, effect: SendOrder, now: float) -> None:
+    def record_ordered(self, effect: SendOrder, now: float) -> None:
         """Record that an order is being sent."""
         last = self._orders.get(effect.host)
         same = last is not None and last.order == effect.order
@@ -183,7 +183,7 @@
             self._loads[effect.host] = now
             self._unloads.pop(effect.host, None)
 
-    def note_answered(
+    def record_answered(
         self,
         host: str,
         order: EngineOrder,
--- a/chervilrock/decisions/controller.py
+++ b/chervilrock/decisions/controller.py
@@ -18,13 +18,13 @@
     load_group,
     reload_restarted,
 )
+from chervilrock.decisions.control.plannedactions import perform_actions
 from chervilrock.decisions.control.progress import Progress
 from chervilrock.decisions.control.release import (
     clear_hosts,
-    unload_free_hosts,
     release_hosts,
+    unload_free_hosts,
 )
-from chervilrock.decisions.control.plannedactions import perform_actions
 from chervilrock.decisions.control.rollout import (
     choose_drains,
     drain_group,
--- a/chervilrock/decisions/lease.py
+++ b/chervilrock/decisions/lease.py
@@ -83,7 +83,7 @@
         self._lease_s = lease_s
         self._sent: dict[RecordId, float] = {}
 
-    def note_sent(self, record_id: RecordId, now: float) -> None:
+    def record_sent(self, record_id: RecordId, now: float) -> None:
         """Record when a claim or a renewal was sent for the first time."""
         if record_id not in self._sent:
             self._sent[record_id] = now
@@ -103,7 +103,7 @@
         }
         return bool(self._sent)
 
-    def note_accepted(self, record_id: RecordId, epoch: int) -> None:
+    def record_accepted(self, record_id: RecordId, epoch: int) -> None:
         """Record that the fold accepted a claim or renewal of this process."""
         sent_at = self._sent.pop(record_id, None)
         if self.epoch != epoch:
@@ -112,7 +112,7 @@
         if sent_at is not None:
             self.until = max(self.until, sent_at + self._lease_s)
 
-    def note_rejected(self, record_id: RecordId) -> None:
+    def record_rejected(self, record_id: RecordId) -> None:
         """Record that the fold did not accept a record of this process."""
         self._sent.pop(record_id, None)
 
@@ -145,7 +145,7 @@
         self._order_timeout_s = order_timeout_s
         self._lease_s = 0.0
 
-    def note_claim(self, epoch: int, lease_s: float, now: float) -> None:
+    def record_claim(self, epoch: int, lease_s: float, now: float) -> None:
         """Record an accepted claim that was read at `now`."""
         if self.epoch:
             orders_end_at = self.over_at + self._order_timeout_s
@@ -154,16 +154,16 @@
         self._lease_s = lease_s
         self.over_at = now + lease_s * (1.0 + self._drift)
 
-    def note_snapshot(self, epoch: int, lease_s: float, now: float) -> None:
+    def record_snapshot(self, epoch: int, lease_s: float, now: float) -> None:
         """Record a lease from a snapshot, which omits the ones before it."""
-        self.note_claim(epoch, lease_s, now)
+        self.record_claim(epoch, lease_s, now)
         self.quiet_at = max(self.quiet_at, self.over_at + self._order_timeout_s)
 
-    def note_renewal(self, now: float) -> None:
+    def record_renewal(self, now: float) -> None:
         """Record an accepted renewal that was read at `now`."""
         self.over_at = now + self._lease_s * (1.0 + self._drift)
 
-    def note_release(self, now: float) -> None:
+    def record_release(self, now: float) -> None:
         """Record that the holder gave up the lease."""
         self.over_at = min(self.over_at, now)
 
@@ -223,10 +223,10 @@
             return
         if epoch == self.observer.epoch:
             # The snapshot may omit renewals, so the wait restarts.
-            self.observer.note_renewal(now)
+            self.observer.record_renewal(now)
             return
         longest = max(lease_s or 0.0, self._timing.lease_s)
-        self.observer.note_snapshot(epoch, longest, now)
+        self.observer.record_snapshot(epoch, longest, now)
         if self.granted_epoch != epoch:
             self.granted_epoch = 0
             self.holder.drop()
@@ -237,24 +237,24 @@
         body = verdict.body
         if not verdict.accepted:
             if is_own:
-                self.holder.note_rejected(record_id)
+                self.holder.record_rejected(record_id)
             return
         if isinstance(body, ControllerClaimed):
             self._delay_s = self._draw_delay()
-            self.observer.note_claim(
+            self.observer.record_claim(
                 verdict.offset, body.lease_ms / _MS_PER_S, now
             )
             self.granted_epoch = verdict.offset if is_own else 0
             if is_own:
-                self.holder.note_accepted(record_id, verdict.offset)
+                self.holder.record_accepted(record_id, verdict.offset)
             else:
                 self.holder.drop()
         elif isinstance(body, ControllerRenewed):
-            self.observer.note_renewal(now)
+            self.observer.record_renewal(now)
             if is_own:
-                self.holder.note_accepted(record_id, body.epoch)
+                self.holder.record_accepted(record_id, body.epoch)
         elif isinstance(body, ControllerReleased):
-            self.observer.note_release(now)
+            self.observer.record_release(now)
             self.granted_epoch = 0
             self.holder.drop()
 
--- a/chervilrock/decisions/limits/admission.py
+++ b/chervilrock/decisions/limits/admission.py
@@ -49,7 +49,7 @@
         request = self._account_for(request)
         if request.deadline <= now:
             return self._reject(request, verdicts.RejectCode.DEADLINE, now)
-        pool.usage.note_active(request.workspace, now)
+        pool.usage.record_active(request.workspace, now)
         is_first = not pool.queue.count(request.workspace)
         if is_first and self._may_start(pool, request.workspace):
             cost = pool.estimate_cost(request)
@@ -203,7 +203,7 @@
         self, pool: pools.Pool, request: base.RequestView, now: float
     ) -> verdicts.Verdict:
         if self._is_within_quota(request.workspace):
-            pool.note_saturated(now)
+            pool.record_saturated(now)
             reject_code = verdicts.RejectCode.OVERLOADED
         else:
             reject_code = verdicts.RejectCode.WORKSPACE_LIMIT
--- a/chervilrock/decisions/limits/pool.py
+++ b/chervilrock/decisions/limits/pool.py
@@ -10,8 +10,8 @@
     concurrency,
     fairness,
     hedging,
-    requesttracker,
     queueing,
+    requesttracker,
     saturation,
     throughput,
     usage,
@@ -148,7 +148,11 @@
         self.queue.charge(request.workspace, cost, share)
 
     def finish(
-        self, entry: requesttracker.RunningRequest, ok: bool, tokens: int, now: float
+        self,
+        entry: requesttracker.RunningRequest,
+        ok: bool,
+        tokens: int,
+        now: float,
     ) -> None:
         """Record that a request has ended.
 
@@ -181,7 +185,7 @@
             self._limits[group].on_queueing(queued)
         self._at_group[group] += 1
 
-    def note_saturated(self, now: float) -> None:
+    def record_saturated(self, now: float) -> None:
         """Record that a request got no slot.
 
         Only the limits of groups in use are raised. While no first token has
--- a/chervilrock/decisions/limits/requesttracker.py
+++ b/chervilrock/decisions/limits/requesttracker.py
@@ -56,7 +56,7 @@
         """Return a running request, or None if it does not run."""
         return self._running.get(request_id)
 
-    def note_group(self, request_id: str, group: str) -> None:
+    def record_group(self, request_id: str, group: str) -> None:
         """Record which group returned the first token of a running request."""
         entry = self._running[request_id]
         self._running[request_id] = entry._replace(group=group)
--- a/chervilrock/decisions/limits/state.py
+++ b/chervilrock/decisions/limits/state.py
@@ -101,7 +101,7 @@
         entry = self._requests.find_running(request_id)
         if entry is None or entry.group:
             return
-        self._requests.note_group(request_id, group)
+        self._requests.record_group(request_id, group)
         pool = self._pools[entry.request.model]
         pool.observe_first_token(entry.request, group, waited_s, now)
 
--- a/chervilrock/decisions/limits/usage.py
+++ b/chervilrock/decisions/limits/usage.py
@@ -46,7 +46,7 @@
         """Return the weight of a workspace."""
         return self._shares.get(workspace, 1.0)
 
-    def note_active(self, workspace: str, now: float) -> None:
+    def record_active(self, workspace: str, now: float) -> None:
         """Record that a workspace sends requests."""
         self._active[workspace] = now
 
--- a/chervilrock/decisions/membership/contact.py
+++ b/chervilrock/decisions/membership/contact.py
@@ -15,7 +15,7 @@
         self._last_exchange_at = 0.0
         self._agreed_at: float | None = None
 
-    def note_exchange(self, now: float, gap_s: float) -> None:
+    def record_exchange(self, now: float, gap_s: float) -> None:
         """Record an exchange with any node.
 
         Args:
@@ -30,7 +30,7 @@
             self._agreed_at = None
         self._last_exchange_at = now
 
-    def note_agreement(self, now: float) -> None:
+    def record_agreement(self, now: float) -> None:
         """Record that a neighbour has the same members as this node."""
         self._agreed_at = now
 
--- a/chervilrock/decisions/membership/exchange.py
+++ b/chervilrock/decisions/membership/exchange.py
@@ -9,17 +9,17 @@
 from typing import NamedTuple, TYPE_CHECKING
 
 from chervilrock.decisions.membership.digests import add_wants, DigestWriter
-from chervilrock.decisions.membership.links import Peer, PeerLinks
+from chervilrock.decisions.membership.fetchpolicy import (
+    FetchPolicy,
+    read_configuration,
+)
 from chervilrock.decisions.membership.immediate import ImmediateExchanges
+from chervilrock.decisions.membership.links import Peer, PeerLinks
 from chervilrock.decisions.membership.localconfiguration import (
     LocalConfiguration,
     ShareTracker,
 )
 from chervilrock.decisions.membership.table import MemberTable
-from chervilrock.decisions.membership.fetchpolicy import (
-    FetchPolicy,
-    read_configuration,
-)
 from chervilrock.generated.interfaces import (
     DataCentreReport,
     PeerDigest,
@@ -119,7 +119,7 @@
         wants = self._apply(digest, now)
         sender = digest["sender"]
         if sender.data_centre != self._table.own.data_centre:
-            self._table.note_reached()
+            self._table.record_reached()
         reply = PeerDigest(sender=self._table.own)
         if not _is_follow_up(digest):
             known_clocks = {
@@ -152,12 +152,12 @@
         if sender.incarnation == self._table.own.incarnation:
             self._links.record_own_address(sent.address)
             return None
-        self._links.note_success(sent.address, sender.data_centre)
+        self._links.record_success(sent.address, sender.data_centre)
         reply = PeerDigest(sender=self._table.own)
         self._writer.add_rosters(reply, answer.get("wants", ()), now)
         add_wants(reply, wants)
         self._add_configuration(reply, answer, now)
-        self._immediate.note_exchange(
+        self._immediate.record_exchange(
             was_useful=bool(answer.get("wants"))
             or sender.revision < self._configuration.revision
         )
@@ -167,7 +167,7 @@
 
     def fail(self, sent: Message, now: float) -> None:
         """Record that a peer did not answer."""
-        self._links.note_failure(sent.address, now)
+        self._links.record_failure(sent.address, now)
 
     def _apply(self, digest: PeerDigest, now: float) -> list[RosterWant]:
         """Apply a digest and return the members to request from its sender."""
@@ -176,9 +176,9 @@
             return []
         if self._was_paused(now):
             return []
-        self._table.note_exchange(sender, now)
+        self._table.record_exchange(sender, now)
         self._table.advance_heartbeat(digest.get("expected_heartbeat", 0), now)
-        self._fetch_policy.note_revision(sender.revision, now)
+        self._fetch_policy.record_revision(sender.revision, now)
         for roster in digest.get("rosters", ()):
             self._table.merge_roster(roster, now)
         is_local = sender.data_centre == self._table.own.data_centre
--- a/chervilrock/decisions/membership/fetchpolicy.py
+++ b/chervilrock/decisions/membership/fetchpolicy.py
@@ -9,7 +9,9 @@
 
 import msgspec
 
-from chervilrock.decisions.membership.localconfiguration import LocalConfiguration
+from chervilrock.decisions.membership.localconfiguration import (
+    LocalConfiguration,
+)
 from chervilrock.generated.records import StoredRecord
 
 LOG_GRACE_S = 1.0
@@ -24,7 +26,7 @@
         self._peer_revision = 0
         self._peer_revision_at = 0.0
 
-    def note_revision(self, revision: int, now: float) -> None:
+    def record_revision(self, revision: int, now: float) -> None:
         """Record the revision that a peer has in force."""
         known = max(self._peer_revision, self._configuration.revision)
         if revision > known:
--- a/chervilrock/decisions/membership/immediate.py
+++ b/chervilrock/decisions/membership/immediate.py
@@ -35,7 +35,7 @@
             self._left = MAX_IMMEDIATE
         return self._left > 0
 
-    def note_exchange(self, *, was_useful: bool) -> None:
+    def record_exchange(self, *, was_useful: bool) -> None:
         """Record an exchange, and whether the peer lacked something."""
         self._left = max(0, self._left - 1)
         self._useless = 0 if was_useful else self._useless + 1
--- a/chervilrock/decisions/membership/links.py
+++ b/chervilrock/decisions/membership/links.py
@@ -107,7 +107,7 @@
         """Addresses of the links."""
         return tuple(self._links)
 
-    def note_controller(self, address: str) -> None:
+    def record_controller(self, address: str) -> None:
         """Use the address of the controller of the region as a seed.
 
         It comes from the log, so that nodes whose seeds no longer exist
@@ -161,7 +161,7 @@
         if not data_centres:
             return None
         name, untried = self._generator.choice(data_centres)
-        return self._note_choice(self._choose_untried(untried), name)
+        return self._record_choice(self._choose_untried(untried), name)
 
     def list_neighbours(self, now: float) -> list[Peer]:
         """Return all nodes that this node exchanges with."""
@@ -170,20 +170,20 @@
         ]
         return [*local_members, *(Peer(*link) for link in self._links.items())]
 
-    def note_success(self, address: str, data_centre: str) -> None:
+    def record_success(self, address: str, data_centre: str) -> None:
         """Record that the node at an address answered."""
         self._failures.pop(address, None)
-        self._note_trial(address, 1.0)
+        self._record_trial(address, 1.0)
         if data_centre == self._table.own.data_centre:
             return
         self._links[address] = data_centre
         while len(self._links) > self._wanted_links():
             del self._links[next(iter(self._links))]
 
-    def note_failure(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """Record that no node answered at an address."""
         self._links.pop(address, None)
-        self._note_trial(address, 0.0)
+        self._record_trial(address, 0.0)
         known = self._failures.pop(address, None)
         pause = FIRST_PAUSE_S if known is None else known.pause_s * 2.0
         pause = min(pause, MAX_PAUSE_S)
@@ -211,7 +211,7 @@
         )
         return _to_peer(min(drawn, key=lambda member: member.last_seen))
 
-    def _note_trial(self, address: str, outcome: float) -> None:
+    def _record_trial(self, address: str, outcome: float) -> None:
         """Update the estimated share of reachable nodes elsewhere."""
         if address in self._trials:
             self._trials.discard(address)
@@ -293,9 +293,9 @@
         untried = self._keep_untried(candidates, now)
         if not untried:
             return None
-        return self._note_choice(self._choose_untried(untried), name)
+        return self._record_choice(self._choose_untried(untried), name)
 
-    def _note_choice(self, chosen: _Candidate, name: str) -> Peer:
+    def _record_choice(self, chosen: _Candidate, name: str) -> Peer:
         if not chosen.reachable and name != self._table.own.data_centre:
             self._trials.add(chosen.address)
         return Peer(chosen.address, name)
--- a/chervilrock/decisions/membership/local.py
+++ b/chervilrock/decisions/membership/local.py
@@ -91,7 +91,7 @@
             self.local_members.merge_holders(report)
         own = self.local_members.view(now, timing.dead_after_s).key
         if report.members == own and from_local:
-            self.contact.note_agreement(now)
+            self.contact.record_agreement(now)
         named = self.local_members.roster_cache.find(report.members)
         self._lacks_members = named is None
         if named is not None:
--- a/chervilrock/decisions/membership/table.py
+++ b/chervilrock/decisions/membership/table.py
@@ -113,13 +113,13 @@
         self.timing = make_timing(self._interval_s, self.size)
         self.share_reachable = self._remotes.share_reachable()
 
-    def note_reached(self) -> None:
+    def record_reached(self) -> None:
         """Record that a node of another data centre reached this one."""
         self._members.own.reachable = True
 
-    def note_exchange(self, sender: PeerNode, now: float) -> None:
+    def record_exchange(self, sender: PeerNode, now: float) -> None:
         """Record an exchange with a node and merge its entry."""
-        self._local.contact.note_exchange(now, self.timing.overdue_s)
+        self._local.contact.record_exchange(now, self.timing.overdue_s)
         if sender.data_centre == self._local.name:
             self._members.merge_entry(sender, now)
             self._changes += 1
--- a/chervilrock/decisions/outage.py
+++ b/chervilrock/decisions/outage.py
@@ -173,7 +173,9 @@
         return False
     if not outage.presence.is_unchanged(group, host, outage.now):
         return False
-    empty = evidence.phase == EnginePhase.EMPTY and evidence.common_shard is None
+    empty = (
+        evidence.phase == EnginePhase.EMPTY and evidence.common_shard is None
+    )
     return empty and evidence.fence < group.reserve
 
 
--- a/chervilrock/decisions/presence.py
+++ b/chervilrock/decisions/presence.py
@@ -72,7 +72,7 @@
         evidence = make_evidence(state, sent_at, self._shards)
         self._evidence[host] = evidence
         self._changed.add(host)
-        self._note_ready(host, evidence)
+        self._record_ready(host, evidence)
 
     def intern_incarnations(self, group: Group) -> None:
         """Share the incarnations of a whole group with its record.
@@ -263,7 +263,7 @@
             return None
         return evidence
 
-    def _note_ready(self, host: str, evidence: Evidence) -> None:
+    def _record_ready(self, host: str, evidence: Evidence) -> None:
         shard = evidence.common_shard
         if shard is None or evidence.phase != EnginePhase.READY:
             return
--- a/chervilrock/decisions/requests/keys.py
+++ b/chervilrock/decisions/requests/keys.py
@@ -149,7 +149,7 @@
         )
         return self._batch
 
-    def note_appended(self, *, ok: bool) -> None:
+    def record_appended(self, *, ok: bool) -> None:
         """Records the result of an append; a failed batch is queued again.
 
         Records keep their ids and order, so retrying a batch that was stored
@@ -169,7 +169,7 @@
         accepted = self._fold.apply(stored)
         body = records.decode_body(stored.record)
         if isinstance(body, KeyFinished):
-            self._note_finished(KeyName(body.workspace, body.key), stored)
+            self._record_finished(KeyName(body.workspace, body.key), stored)
         if not isinstance(body, KeyClaimed):
             return None
         name = KeyName(body.workspace, body.key)
@@ -192,7 +192,7 @@
         ]
         return tuple(self._give_up(name) for name in overdue)
 
-    def _note_finished(self, name: KeyName, stored: StoredRecord) -> None:
+    def _record_finished(self, name: KeyName, stored: StoredRecord) -> None:
         if stored.record.record_id.writer == self._writer.writer:
             self._given_up.discard(name)
 
--- a/chervilrock/decisions/routing/affinity.py
+++ b/chervilrock/decisions/routing/affinity.py
@@ -120,7 +120,7 @@
     ) -> None:
         """Update the prefill speed of the group."""
         group = endpoint.group
-        if self._attempts.note_first_token(
+        if self._attempts.record_first_token(
             request.request_id, group, waited_s, now
         ):
             self._stragglers.on_first_token(
@@ -135,7 +135,7 @@
         tokens: int,
     ) -> None:
         """Update the decoding speed of the group."""
-        s_per_token = self._attempts.note_progress(
+        s_per_token = self._attempts.record_progress(
             request.request_id, endpoint.group, tokens, now
         )
         if s_per_token is not None:
--- a/chervilrock/decisions/routing/attempts.py
+++ b/chervilrock/decisions/routing/attempts.py
@@ -58,7 +58,7 @@
         self._pending_tokens[group] = pending_tokens
         return CACHED_FIRST_TOKEN_S + self._prefill_s_per_token * pending_tokens
 
-    def note_first_token(
+    def record_first_token(
         self, request_id: str, group: str, waited_s: float, now: float
     ) -> bool:
         """Record the first token; return False if it was recorded already.
@@ -79,7 +79,7 @@
             )
         return True
 
-    def note_progress(
+    def record_progress(
         self, request_id: str, group: str, tokens: int, now: float
     ) -> float | None:
         """Record how many tokens of the answer have come.
--- a/chervilrock/decisions/serving/adoption.py
+++ b/chervilrock/decisions/serving/adoption.py
@@ -1,11 +1,11 @@
 """Adoption of the groups that an earlier leader formed."""
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.verification import GroupVerifier
 from chervilrock.decisions.serving.effects import GroupStep
 from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
 from chervilrock.decisions.serving.site import BackendServer, MemberState
+from chervilrock.decisions.serving.verification import GroupVerifier
 
 ADOPTION_WAIT_S = 0.3
 """Time to wait for the entries of all members of a group to arrive."""
@@ -14,7 +14,9 @@
 class Adoption:
     """Takes over groups of earlier leaders that appear in servers' entries."""
 
-    def __init__(self, *, registry: GroupRegistry, verifier: GroupVerifier) -> None:
+    def __init__(
+        self, *, registry: GroupRegistry, verifier: GroupVerifier
+    ) -> None:
         """Create an adoption without groups.
 
         Args:
@@ -86,7 +88,7 @@
         self._registry.record_change(GroupStep.FOUND, group)
         for server in servers:
             if server.membership is not None:
-                self._registry.note_membership(server.server, server.membership)
+                self._registry.record_membership(server.server, server.membership)
         group.joined = set(group.members)
         shape = engine.models.get(name.model)
         if shape is not None:
--- a/chervilrock/decisions/serving/attempts.py
+++ b/chervilrock/decisions/serving/attempts.py
@@ -70,7 +70,11 @@
         return SendOutcome.COMPLETE
     # Forwarded to the caller, such a status would guarantee that the request
     # has not run, which is unknown.
-    return SendOutcome.LOST if facts.status in _NOT_RUN_STATUSES else SendOutcome.FAILED
+    return (
+        SendOutcome.LOST
+        if facts.status in _NOT_RUN_STATUSES
+        else SendOutcome.FAILED
+    )
 
 
 def is_server_error(status: int) -> bool:
@@ -100,7 +104,11 @@
     has_attempts = progress.sends < max_attempts
     if end is SendOutcome.NOT_RUN:
         is_retry_safe = may_retry or not progress.may_have_run
-        return NextStep.RETRY if has_attempts and is_retry_safe else NextStep.GIVE_UP
+        return (
+            NextStep.RETRY
+            if has_attempts and is_retry_safe
+            else NextStep.GIVE_UP
+        )
     if end is SendOutcome.FAILED:
         if may_retry and has_attempts and is_server_error(status):
             return NextStep.RETRY
--- a/chervilrock/decisions/serving/controller.py
+++ b/chervilrock/decisions/serving/controller.py
@@ -10,12 +10,11 @@
 from collections.abc import Collection, Mapping
 
 from chervilrock.decisions.serving.adoption import Adoption
-from chervilrock.decisions.serving.hostcounts import count_hosts, ModelCount
-from chervilrock.decisions.serving.verification import GroupVerifier, QUERY_INTERVAL_S
 from chervilrock.decisions.serving.effects import Command, Effect, GroupStep
 from chervilrock.decisions.serving.forming import Forming
 from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
+from chervilrock.decisions.serving.hostcounts import count_hosts, ModelCount
 from chervilrock.decisions.serving.hosts import IncarnationOrder
 from chervilrock.decisions.serving.orders import (
     Close,
@@ -36,6 +35,10 @@
     MemberState,
     SiteConfiguration,
 )
+from chervilrock.decisions.serving.verification import (
+    GroupVerifier,
+    QUERY_INTERVAL_S,
+)
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
 
 RESEND_DELAY_S = 0.4
@@ -65,7 +68,9 @@
         self._registry = GroupRegistry()
         self._planner = Planner(registry=self._registry)
         self._verifier = GroupVerifier(registry=self._registry)
-        self._adoption = Adoption(registry=self._registry, verifier=self._verifier)
+        self._adoption = Adoption(
+            registry=self._registry, verifier=self._verifier
+        )
         self._forming = Forming(
             registry=self._registry, planner=self._planner, term=term
         )
@@ -74,11 +79,11 @@
         """Set the configuration in force."""
         self._registry.configuration = configuration
 
-    def note_traffic(self) -> None:
+    def record_traffic(self) -> None:
         """Record that callers have begun to send requests."""
         self._planner.has_traffic = True
 
-    def note_requests(
+    def record_requests(
         self,
         requests: Mapping[str, int],
         limited: Collection[str],
@@ -95,17 +100,17 @@
             return
         for service in self._registry.configuration.services.values():
             if service.engine is not None:
-                self._planner.note_requests(
+                self._planner.record_requests(
                     requests, limited, service.engine, service.name, now
                 )
 
-    def note_server(self, server: BackendServer, now: float) -> None:
+    def record_server(self, server: BackendServer, now: float) -> None:
         """Record the entry of a server."""
         if self._is_former_incarnation(server.server, server.started_ms, now):
             return
         membership = self._registry.hosts.apply_entry(server, now)
         if membership is not None:
-            self._registry.note_membership(server.server, membership)
+            self._registry.record_membership(server.server, membership)
 
     def record_removed(self, server: str) -> None:
         """Record that the entry of a server was removed."""
@@ -119,14 +124,14 @@
                 group, "its streams are silent", now, failures=1
             )
 
-    def note_reply(
+    def record_reply(
         self, server: str, order: Order, reply: OrderReply | None, now: float
     ) -> None:
         """Record the answer to an order, None when there was none."""
         if not isinstance(order, Join):
             self._registry.hosts.record_order(server)
         if isinstance(order, Stage):
-            self._planner.note_staging_reply(server, order, reply, now)
+            self._planner.record_staging_reply(server, order, reply, now)
             return
         self._registry.dispatcher.finish_order(server, order)
         if reply is OrderReply.MISDIRECTED:
@@ -150,7 +155,7 @@
                     reason = f"its head refused to close: {reply.value}"
                     self._registry.dissolve(group, reason, now)
 
-    def note_report(
+    def record_report(
         self, server: str, report: ServerReport | None, now: float
     ) -> None:
         """Record the state of a server, None when it did not answer."""
@@ -160,11 +165,14 @@
                 return
             self._apply_report(server, report, now)
         else:
-            self._registry.hosts.note_unanswered(server)
+            self._registry.hosts.record_unanswered(server)
         for group in list(self._registry.groups.values()):
             if server not in group.members:
                 continue
-            if group.verifying_since is not None and group.phase is Phase.SERVING:
+            if (
+                group.verifying_since is not None
+                and group.phase is Phase.SERVING
+            ):
                 self._verifier.apply_report(group, server, report, now)
             elif group.phase is Phase.CLOSING and server == group.head:
                 self._apply_closing_report(group, report, now)
@@ -192,7 +200,7 @@
                 group.head_out = True
             elif group.may_be_open:
                 # A late order could make it rejoin its former group.
-                self._registry.hosts.note_left(server, group.epoch, now)
+                self._registry.hosts.record_left(server, group.epoch, now)
         return False
 
     def step(self, now: float) -> list[Effect]:
@@ -298,7 +306,7 @@
         membership = report.membership
         if membership is None:
             return
-        self._registry.note_membership(server, membership)
+        self._registry.record_membership(server, membership)
         if has_rejoined:
             self._handle_rejoined(server, membership, now)
 
@@ -334,10 +342,10 @@
         elif reply is not OrderReply.INVALID:
             # A conflict also means that the server is not in this group.
             group.awaited.discard(server)
-            self._registry.hosts.note_left(server, group.epoch, now)
+            self._registry.hosts.record_left(server, group.epoch, now)
             if server == group.head and group.has_head:
                 group.head_out = True
-                self._registry.hosts.note_head_out(group.members)
+                self._registry.hosts.record_head_out(group.members)
 
     def _apply_closing_report(
         self, group: ManagedGroup, report: ServerReport | None, now: float
@@ -407,7 +415,9 @@
             )
             return []
         if now - group.since > CLOSE_TIMEOUT_S:
-            self._registry.dissolve(group, "its head did not finish in time", now)
+            self._registry.dissolve(
+                group, "its head did not finish in time", now
+            )
             return []
         if now - group.since < CLOSING_QUERY_INTERVAL_S:
             order = Close(group.name, group.epoch)
@@ -489,5 +499,5 @@
         server = self._registry.hosts.find(staging.server)
         if server is None or not self._planner.acquire_load(engine, now):
             return []
-        self._planner.note_staging(staging, engine, now)
+        self._planner.record_staging(staging, engine, now)
         return [Command(server, staging.order)]
--- a/chervilrock/decisions/serving/demand.py
+++ b/chervilrock/decisions/serving/demand.py
@@ -101,9 +101,9 @@
             self._fullness[model] = _smooth(
                 known, fullness, elapsed_s, FULLNESS_TIME_CONSTANT_S
             )
-        self._note_overloaded(now)
+        self._record_overloaded(now)
 
-    def _note_overloaded(self, now: float) -> None:
+    def _record_overloaded(self, now: float) -> None:
         for model, fullness in self._fullness.items():
             if fullness < OVERLOADED_FRACTION:
                 self._overloaded_since.pop(model, None)
--- a/chervilrock/decisions/serving/entries.py
+++ b/chervilrock/decisions/serving/entries.py
@@ -47,7 +47,7 @@
         self._entries[entry.server] = entry
         return entry
 
-    def note_gone(self, server: str) -> None:
+    def record_gone(self, server: str) -> None:
         """Record that a server is gone; its last entry is kept."""
         self._present.discard(server)
 
@@ -61,5 +61,7 @@
 
     A server that does not report its start time may have been restarted.
     """
-    is_same_start = entry.started_ms == known.started_ms and entry.started_ms > 0
+    is_same_start = (
+        entry.started_ms == known.started_ms and entry.started_ms > 0
+    )
     return is_same_start and entry.writes < known.writes
--- a/chervilrock/decisions/serving/failures.py
+++ b/chervilrock/decisions/serving/failures.py
@@ -34,7 +34,7 @@
         """Create counts without failures."""
         self._counts: dict[str, int] = {}
 
-    def note_failure(self, group: str) -> float:
+    def record_failure(self, group: str) -> float:
         """Record that a group failed a request.
 
         Returns:
@@ -44,7 +44,7 @@
         self._counts[group] = count + 1
         return min(MAX_AVOIDANCE_S, FIRST_AVOIDANCE_S * BACKOFF_FACTOR**count)
 
-    def note_success(self, group: str) -> None:
+    def record_success(self, group: str) -> None:
         """Record that a group answered a request."""
         self._counts.pop(group, None)
 
--- a/chervilrock/decisions/serving/forming.py
+++ b/chervilrock/decisions/serving/forming.py
@@ -1,7 +1,6 @@
 """Formation of groups, from the plan to the first request."""
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.verification import QUERY_INTERVAL_S
 from chervilrock.decisions.serving.effects import Effect, GroupStep
 from chervilrock.decisions.serving.groupregistry import GroupRegistry
 from chervilrock.decisions.serving.groups import ManagedGroup, Phase
@@ -14,6 +13,7 @@
 )
 from chervilrock.decisions.serving.planning import Planner
 from chervilrock.decisions.serving.site import EngineProfile
+from chervilrock.decisions.serving.verification import QUERY_INTERVAL_S
 
 JOIN_S = 0.2
 """Duration of a join when the weights are in memory."""
@@ -55,7 +55,7 @@
             self._registry.hosts.loaded[server] = group.model
         if reply in (OrderReply.STARTED, OrderReply.DONE):
             group.joined.add(server)
-            self._registry.hosts.note_joined(server)
+            self._registry.hosts.record_joined(server)
             order = Join(group.name, group.epoch, group.model, group.members)
             delayed_until = max(group.due, now + QUERY_INTERVAL_S)
             self._registry.dispatcher.delay(server, order, delayed_until)
@@ -106,7 +106,9 @@
         for server in group.members:
             entry = self._registry.hosts.servers.get(server)
             if entry is None or entry.is_leaving:
-                self._registry.dissolve(group, f"{server} is gone or leaves", now)
+                self._registry.dissolve(
+                    group, f"{server} is gone or leaves", now
+                )
                 return True
             if server not in group.joined and self._is_in_other_group(
                 group, server
@@ -141,7 +143,9 @@
         obeyed = self._registry.hosts.obeyed.get(server)
         if obeyed is None:
             return self._registry.query(server, QUERY_INTERVAL_S, now)
-        return self._registry.command(server, join._replace(expected=obeyed), now)
+        return self._registry.command(
+            server, join._replace(expected=obeyed), now
+        )
 
     def open(self, group: ManagedGroup, now: float) -> list[Effect]:
         """Return the effects for a group whose members are ready."""
@@ -175,7 +179,9 @@
         now: float,
     ) -> list[Effect]:
         """Let a standby host load a model if the weight store has capacity."""
-        if preparation.needs_load and not self._planner.acquire_load(engine, now):
+        if preparation.needs_load and not self._planner.acquire_load(
+            engine, now
+        ):
             return []
         members = (preparation.server,)
         model = preparation.model
--- a/chervilrock/decisions/serving/groupregistry.py
+++ b/chervilrock/decisions/serving/groupregistry.py
@@ -53,14 +53,16 @@
         self, step: GroupStep, group: ManagedGroup, reason: str = ""
     ) -> None:
         """Record a change of a group for the log."""
-        self._changes.append(GroupChange(step, group.name, group.members, reason))
+        self._changes.append(
+            GroupChange(step, group.name, group.members, reason)
+        )
 
     def take_changes(self) -> list[GroupChange]:
         """Return and clear the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
-    def note_membership(self, server: str, membership: Membership) -> None:
+    def record_membership(self, server: str, membership: Membership) -> None:
         """Record a membership that a server reports or has in its entry."""
         group = self.groups.get(membership.group)
         if group is None or group.epoch != membership.epoch:
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -174,17 +174,17 @@
             )
         return self._has_rejoined(server, report, now)
 
-    def note_left(self, server: str, epoch: int, now: float) -> None:
+    def record_left(self, server: str, epoch: int, now: float) -> None:
         """Record that a server has confirmed that it left a group."""
         self._left.add((server, epoch))
         self._left_at[server] = now
 
-    def note_head_out(self, members: tuple[str, ...]) -> None:
+    def record_head_out(self, members: tuple[str, ...]) -> None:
         """Record that the head of a group has left; its members are free."""
         for member in members:
             self._left_at.pop(member, None)
 
-    def note_joined(self, server: str) -> None:
+    def record_joined(self, server: str) -> None:
         """Record that a server has executed an order to join."""
         self._reporting.add(server)
         self._joined.add(server)
@@ -214,7 +214,7 @@
         self._reporting.discard(server)
         self._unanswered.add(server)
 
-    def note_unanswered(self, server: str) -> None:
+    def record_unanswered(self, server: str) -> None:
         """Record that a server did not answer a status query."""
         self._unanswered.add(server)
         self._reporting.discard(server)
--- a/chervilrock/decisions/serving/leadership.py
+++ b/chervilrock/decisions/serving/leadership.py
@@ -142,7 +142,7 @@
         """Record with which this process claims to lead."""
         return self._own
 
-    def note_claim(self, claim: Claim, now: float) -> bool:
+    def record_claim(self, claim: Claim, now: float) -> bool:
         """Apply a claim from the store; return whether it is newer."""
         if claim.term <= self.term:
             return False
@@ -152,8 +152,13 @@
         self._lost_after_s = None
         return True
 
-    def note_announcement(
-        self, term: int, *, lost_after_s: float, is_stepping_down: bool, now: float
+    def record_announcement(
+        self,
+        term: int,
+        *,
+        lost_after_s: float,
+        is_stepping_down: bool,
+        now: float,
     ) -> None:
         """Record an announcement of the leader of a term.
 
@@ -172,14 +177,14 @@
         if not is_stepping_down:
             self._lost_since = None
         else:
-            self.note_lost(now)
+            self.record_lost(now)
 
-    def note_lost(self, now: float) -> None:
+    def record_lost(self, now: float) -> None:
         """Record that the leader stops, or that its process was replaced."""
         if self._lost_since is None:
             self._lost_since = now
 
-    def note_node(self, entry: LeaderEntry, now: float) -> None:
+    def record_node(self, entry: LeaderEntry, now: float) -> None:
         """Record that a process of a node has registered.
 
         A new process on the node of the leader means that the leader has
@@ -190,7 +195,7 @@
         if claim is None or entry.node != claim.entry.node:
             return
         if entry.incarnation != claim.entry.incarnation:
-            self.note_lost(now)
+            self.record_lost(now)
 
     def record_claim_attempt(self, now: float) -> None:
         """Record that this node tried to claim."""
--- a/chervilrock/decisions/serving/placement.py
+++ b/chervilrock/decisions/serving/placement.py
@@ -113,7 +113,10 @@
         )
         is_over_share = load.own >= load.own_limit
         share_penalty = OVER_SHARE_PENALTY if is_over_share else 0.0
-        return load.is_deprioritized, fullness + distance_penalty + share_penalty
+        return (
+            load.is_deprioritized,
+            fullness + distance_penalty + share_penalty,
+        )
 
     return min(sample, key=sort_key)
 
@@ -127,7 +130,9 @@
 
     If all choices are deprioritized, the sample is drawn from them.
     """
-    preferred = [choice for choice in choices if not choice.load.is_deprioritized]
+    preferred = [
+        choice for choice in choices if not choice.load.is_deprioritized
+    ]
     pool = preferred or choices
     return generator.sample(pool, min(sample_size, len(pool)))
 
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -162,7 +162,7 @@
             stagings=self._choose_stagings(engine, domains, placed, needs, now),
         )
 
-    def note_requests(
+    def record_requests(
         self,
         requests: Mapping[str, int],
         limited: Collection[str],
@@ -241,19 +241,19 @@
         factor = 1.0 if self.has_traffic else WARM_UP_FACTOR
         return factor * shape.load_s
 
-    def note_staging(
+    def record_staging(
         self, staging: Staging, engine: EngineProfile, now: float
     ) -> None:
         """Record that a host was ordered to stage a model."""
         model = staging.order.model
         load_s = self.estimate_load_s(engine.models[model])
-        self._stagings.note_ordered(staging.server, model, load_s, now)
+        self._stagings.record_ordered(staging.server, model, load_s, now)
 
-    def note_staging_reply(
+    def record_staging_reply(
         self, server: str, order: Stage, reply: OrderReply | None, now: float
     ) -> None:
         """Record the reply to an order to stage, None if there was none."""
-        self._stagings.note_reply(server, order, reply, now)
+        self._stagings.record_reply(server, order, reply, now)
 
     def forget(self, server: str) -> None:
         """Forget the orders to a server that has restarted."""
@@ -397,7 +397,9 @@
         """Return the hosts that are in no group, and the standby hosts."""
         free = []
         for host in hosts:
-            if host.server in occupied or self._registry.is_unknown_member(host):
+            if host.server in occupied or self._registry.is_unknown_member(
+                host
+            ):
                 continue
             is_standby = host.server in standby
             free.append(self._describe_host(host.server, is_standby=is_standby))
--- a/chervilrock/decisions/serving/polling.py
+++ b/chervilrock/decisions/serving/polling.py
@@ -98,7 +98,9 @@
 """Time without a leader after which nodes that need not claim also read who
 leads. Designated readers claim first, mostly within half a second."""
 
-SERVERS_SCHEDULE = PollSchedule(pause_s=0.25, retry_s=EAGER_RETRY_S, long_poll_s=0.5)
+SERVERS_SCHEDULE = PollSchedule(
+    pause_s=0.25, retry_s=EAGER_RETRY_S, long_poll_s=0.5
+)
 """How the leader reads the entries of the servers. They write some forty
 records a second, and each call is paid for. A server that is leaving must be
 known well within the two seconds after which it may get no requests. The answer
@@ -166,7 +168,9 @@
 
 def reads_configuration(reader: Reader) -> bool:
     """Return whether a node reads the configuration from the store now."""
-    lacks_updates = not reader.has_leader_contact or reader.lag_s > MAX_REVISION_LAG_S
+    lacks_updates = (
+        not reader.has_leader_contact or reader.lag_s > MAX_REVISION_LAG_S
+    )
     return _reads_for_itself(reader) or lacks_updates
 
 
@@ -191,7 +195,9 @@
     return PollSchedule(
         pause_s=QUICK_PAUSE_S,
         retry_s=_find_retry_s(reader),
-        long_poll_s=min(wait_s, LEADER_LONG_POLL_S) if reader.is_leader else wait_s,
+        long_poll_s=min(wait_s, LEADER_LONG_POLL_S)
+        if reader.is_leader
+        else wait_s,
     )
 
 
--- a/chervilrock/decisions/serving/relays.py
+++ b/chervilrock/decisions/serving/relays.py
@@ -85,12 +85,12 @@
             relays=frozenset(node.incarnation for node in relays),
         )
 
-    def note_failure(self, incarnation: str, now: float) -> None:
+    def record_failure(self, incarnation: str, now: float) -> None:
         """Record that a node did not answer; a relay is then replaced."""
         if incarnation in self._relay_by_data_centre.values():
             self._failed_at[incarnation] = now
 
-    def note_answer(self, node: NodeEntry, answer: Summary, now: float) -> None:
+    def record_relay_answer(self, node: NodeEntry, answer: Summary, now: float) -> None:
         """Record the answer of a relay for its data centre."""
         self._answers[node.data_centre] = (answer, now)
 
--- a/chervilrock/decisions/serving/retrybudget.py
+++ b/chervilrock/decisions/serving/retrybudget.py
@@ -60,7 +60,7 @@
         self._nodes: int | None = None
         self._refilled_at: float | None = None
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
         self._forget(now)
--- a/chervilrock/decisions/serving/serverlimits.py
+++ b/chervilrock/decisions/serving/serverlimits.py
@@ -15,8 +15,8 @@
 
 import xxhash
 
-from chervilrock.decisions.serving.tokenbuckets import TokenBucket
 from chervilrock.decisions.serving.messages import StatedLimit
+from chervilrock.decisions.serving.tokenbuckets import TokenBucket
 
 SAME_RATE_TOLERANCE = 0.1
 """Fraction of a limit by which another one may differ and count as the same."""
@@ -203,7 +203,7 @@
             server: rate for server, rate in rates.items() if rate is not None
         }
 
-    def note_answer(
+    def record_answer(
         self,
         server: str,
         limit: StatedLimit,
@@ -237,7 +237,9 @@
         ended = limit.rate is None
         return LimitChange.ENDED if ended else LimitChange.NAMED
 
-    def apply_announcement(self, limited: Iterable[LimitedServer], now: float) -> None:
+    def apply_announcement(
+        self, limited: Iterable[LimitedServer], now: float
+    ) -> None:
         """Apply the limits that the leader announces.
 
         A limit that it announced before is not new, and has less weight than
--- a/chervilrock/decisions/serving/shortage.py
+++ b/chervilrock/decisions/serving/shortage.py
@@ -19,7 +19,7 @@
         self._started_at: dict[str, float] = {}
         self._last_missed: dict[str, float] = {}
 
-    def note_missed(self, model: str, now: float) -> None:
+    def record_missed(self, model: str, now: float) -> None:
         """Record that a request got no slot while it could be on time."""
         if not self.has_shortage(model, now):
             self._started_at[model] = now
@@ -33,7 +33,9 @@
     def list_short(self, now: float) -> tuple[str, ...]:
         """Return the models that have a shortage of slots."""
         return tuple(
-            model for model in self._last_missed if self.has_shortage(model, now)
+            model
+            for model in self._last_missed
+            if self.has_shortage(model, now)
         )
 
     def find_duration(self, model: str, now: float) -> float:
--- a/chervilrock/decisions/serving/staging.py
+++ b/chervilrock/decisions/serving/staging.py
@@ -121,7 +121,7 @@
             orders, key=lambda item: (sort_keys.get(item[1].model, 0.0), item)
         )
 
-    def note_ordered(
+    def record_ordered(
         self, server: str, model: str, load_s: float, now: float
     ) -> None:
         """Record that a server was ordered to stage a model.
@@ -135,7 +135,7 @@
         until = now + LOAD_TIME_MARGIN * load_s + RETRY_S
         self._in_progress[server] = _Staging(model, until, True)
 
-    def note_reply(
+    def record_reply(
         self, server: str, order: Stage, reply: OrderReply | None, now: float
     ) -> None:
         """Record the reply to an order to stage, None if there was none."""
--- a/chervilrock/decisions/serving/stalls.py
+++ b/chervilrock/decisions/serving/stalls.py
@@ -39,16 +39,16 @@
         """Number of streams."""
         return len(self._sent_at)
 
-    def note_sent(self, request_id: str, now: float) -> None:
+    def record_sent(self, request_id: str, now: float) -> None:
         """Record a stream that was sent to the group."""
         self._sent_at[request_id] = now
 
-    def note_progress(self, now: float) -> None:
+    def record_progress(self, now: float) -> None:
         """Record an event or the end of any stream."""
         self._last_progress_at = max(self._last_progress_at, now)
         self.is_stall_logged = False
 
-    def note_end(self, request_id: str) -> None:
+    def record_end(self, request_id: str) -> None:
         """Remove a stream that ended or was moved away."""
         self._sent_at.pop(request_id, None)
 
--- a/chervilrock/decisions/serving/storehealth.py
+++ b/chervilrock/decisions/serving/storehealth.py
@@ -56,7 +56,7 @@
         self._timed_out_topics: set[str] = set()
         self._leader_status: StoreStatus | None = None
 
-    def note_answer(self, topic: str, now: float) -> bool:
+    def record_answer(self, topic: str, now: float) -> bool:
         """Record an answer for a topic; return whether the store has recovered.
 
         If so, reads that were begun earlier have to be restarted. If only some
@@ -78,7 +78,7 @@
             self._timed_out_topics.clear()
         return has_recovered
 
-    def note_failure(self, topic: str, now: float, *, is_timeout: bool) -> None:
+    def record_failure(self, topic: str, now: float, *, is_timeout: bool) -> None:
         """Record that a call got no usable answer.
 
         Args:
--- a/chervilrock/decisions/serving/suspects.py
+++ b/chervilrock/decisions/serving/suspects.py
@@ -159,7 +159,7 @@
             record.settles_at = now + settle_s
         return True
 
-    def note_suspect(self, suspect: Suspect, now: float) -> None:
+    def record_suspect(self, suspect: Suspect, now: float) -> None:
         """Record what another node has found out about a request."""
         for crash in suspect.crashes:
             settle_s = 0.0 if suspect.is_withheld else SETTLE_S
@@ -194,7 +194,8 @@
             unexplained = [
                 crash
                 for crash in record.crashes.values()
-                if explained.get(crash.server, float("inf")) > crash.since_first_byte_s
+                if explained.get(crash.server, float("inf"))
+                > crash.since_first_byte_s
             ]
             if len(unexplained) < MAX_CRASHES:
                 continue
--- a/chervilrock/decisions/serving/waiting.py
+++ b/chervilrock/decisions/serving/waiting.py
@@ -151,7 +151,9 @@
     return WaitDecision(0.0, _add_jitter(retry_after_s, draw))
 
 
-def _can_wait_for_limit(request: WaitingRequest, availability: Availability) -> bool:
+def _can_wait_for_limit(
+    request: WaitingRequest, availability: Availability
+) -> bool:
     """Return whether a request may get one of the few sends to limited servers.
 
     Interrupted streams may, and requests that can still be on time.
@@ -159,7 +161,9 @@
     if not availability.limit_wait_s:
         return True
     if request.timeliness is Timeliness.BEGUN:
-        return availability.limit_wait_s <= min(MAX_BEGUN_WAIT_S, request.limit_s)
+        return availability.limit_wait_s <= min(
+            MAX_BEGUN_WAIT_S, request.limit_s
+        )
     is_in_time = availability.limit_wait_s <= request.on_time_s
     return request.timeliness is Timeliness.ON_TIME and is_in_time
 
--- a/chervilrock/decisions/snapshots.py
+++ b/chervilrock/decisions/snapshots.py
@@ -118,13 +118,13 @@
         self._read_at: float | None = None
         self._written_at: float | None = None
 
-    def note_read(self, upto: int, now: float) -> None:
+    def record_read(self, upto: int, now: float) -> None:
         """Record that a complete snapshot was read back."""
         if upto >= self.upto:
             self.upto = upto
             self._read_at = now
 
-    def note_written(self, now: float) -> None:
+    def record_written(self, now: float) -> None:
         """Record that a snapshot is being appended, to delay the next one."""
         self._written_at = now
 
--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -82,7 +82,7 @@
         """See base class."""
         if self._endpoint is not None and not transfer.held_back:
             tokens = self._position - self._after
-            self._observer.note_progress(self._endpoint, tokens, now)
+            self._observer.record_progress(self._endpoint, tokens, now)
         silence = self._progress.measure_silence(
             self._position, transfer.paused, now
         )
@@ -114,7 +114,7 @@
                 return self._give_up(self._tracker.give_up())
             mode = choose_mode(decision)
             if self._tracker.sends:
-                self._observer.note_retry(mode, endpoint.group, self._position)
+                self._observer.record_retry(mode, endpoint.group, self._position)
             send = self._tracker.begin(endpoint.group, mode)
             end = await self._send(endpoint, send)
             if self._left:
@@ -174,11 +174,11 @@
             receiver=receiver,
         )
         self._receiver = receiver
-        self._observer.note_sent(endpoint, now)
+        self._observer.record_sent(endpoint, now)
         end = receiver.judge(await self._transmit(transfer))
         self._refusal = receiver.refusal
         tokens = 0 if transfer.held_back else self._position - self._after
-        self._observer.note_end(endpoint, end, self._refusal, tokens)
+        self._observer.record_end(endpoint, end, self._refusal, tokens)
         return end
 
     def _make_receiver(self, endpoint: Endpoint, send: Send) -> EngineReceiver:
@@ -214,7 +214,7 @@
             self._sink.start(STREAM_HEAD)
         if not self._observer.answered:
             assert self._endpoint is not None
-            self._observer.note_first_token(self._endpoint)
+            self._observer.record_first_token(self._endpoint)
         receiver = self._receiver
         assert isinstance(receiver, StreamReceiver)
         self._position = receiver.positions.position
@@ -229,7 +229,7 @@
         if end is AttemptEnd.COMPLETE:
             self._finish_answer()
             return attempts.Deliver()
-        self._observer.note_broken(endpoint, end, self._position)
+        self._observer.record_broken(endpoint, end, self._position)
         kept = self._read_kept() if self._position > 0 else None
         if kept is not None and self._finish_text(kept):
             return attempts.Deliver()
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -40,7 +40,9 @@
           path: request path of the node.
         """
         self._context = path.context
-        self._memory: runregistry.RunRegistry[KeyName] = runregistry.RunRegistry()
+        self._memory: runregistry.RunRegistry[KeyName] = (
+            runregistry.RunRegistry()
+        )
         self._runs: once.OnceRuns[KeyName] = once.OnceRuns(path=path)
 
     async def answer(
--- a/chervilrock/edges/observer.py
+++ b/chervilrock/edges/observer.py
@@ -46,7 +46,7 @@
         self._told_tokens = 0
         self.answered = False
 
-    def note_retry(self, mode: SendMode, group: str, position: int) -> None:
+    def record_retry(self, mode: SendMode, group: str, position: int) -> None:
         """Tells of a send beyond the first one, before it is sent.
 
         Args:
@@ -64,14 +64,14 @@
                 position=position,
             )
 
-    def note_sent(self, endpoint: Endpoint, now: float) -> None:
+    def record_sent(self, endpoint: Endpoint, now: float) -> None:
         """Tells of a send to a group."""
         self._sent_at = now
         self._told_tokens = 0
         self.answered = False
         self._context.policy.on_sent(self._view, endpoint, now)
 
-    def note_first_token(self, endpoint: Endpoint) -> None:
+    def record_first_token(self, endpoint: Endpoint) -> None:
         """Tells of the first event of a send."""
         self.answered = True
         now = self._context.now()
@@ -87,7 +87,7 @@
             model=self._view.model, seconds=now - self._arrived
         )
 
-    def note_progress(
+    def record_progress(
         self, endpoint: Endpoint, tokens: int, now: float
     ) -> None:
         """Tells how many tokens of a send have come, if these are enough."""
@@ -96,7 +96,7 @@
         self._told_tokens = tokens
         self._context.policy.on_progress(self._view, endpoint, now, tokens)
 
-    def note_end(
+    def record_end(
         self, endpoint: Endpoint, end: AttemptEnd, refusal: Refusal, tokens: int
     ) -> None:
         """Tells of the end of a send.
@@ -113,7 +113,7 @@
         if refusal.status == _STATUS_TOO_MANY_REQUESTS:
             self._context.admission.observe_overload(endpoint.group, now)
 
-    def note_broken(
+    def record_broken(
         self, endpoint: Endpoint, end: AttemptEnd, position: int
     ) -> None:
         """Tells of a stream that broke after some events."""
--- a/chervilrock/edges/relay.py
+++ b/chervilrock/edges/relay.py
@@ -196,13 +196,13 @@
         curl.setopt(pycurl.PATH_AS_IS, 1)
         curl.setopt(pycurl.UPLOAD_BUFFERSIZE, SEND_BUFFER_BYTES)
         curl.setopt(pycurl.HTTPHEADER, format_headers(self._request.headers))
-        curl.setopt(pycurl.PREREQFUNCTION, self._note_send)
+        curl.setopt(pycurl.PREREQFUNCTION, self._record_send)
         curl.setopt(pycurl.HEADERFUNCTION, self._lines.append)
         curl.setopt(pycurl.WRITEFUNCTION, self._receive)
         if self._request.send_once:
             use_own_connection(curl)
 
-    def _note_send(self, *_addresses: object) -> int:
+    def _record_send(self, *_addresses: object) -> int:
         """Called by libcurl right before it sends."""
         if self._abandoned or (self.sent and self._request.send_once):
             return _SEND_ABORT
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -39,9 +39,9 @@
 from chervilrock.platform import headers as names
 from chervilrock.serving_metrics import ServingMetrics
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.waitqueue import WaitQueue
-from chervilrock.tasks.serving.state import ServingState
 from chervilrock.tasks.serving.poisondetector import PoisonDetector
+from chervilrock.tasks.serving.state import ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 CONNECT_TIMEOUT_S = 0.4
 """Longest time to connect to a server; it takes some milliseconds, and a
@@ -197,7 +197,9 @@
                 return
             await self._check.wait_for_verdict(self._expires)
 
-    def _goes_on(self, admission: Admission, end: SendOutcome, status: int) -> bool:
+    def _goes_on(
+        self, admission: Admission, end: SendOutcome, status: int
+    ) -> bool:
         """Tell whether to send again; else the caller has its answer."""
         now = read_clock()
         route = admission.route
@@ -222,14 +224,14 @@
         if following is NextStep.RETRY:
             # Without a byte sent, the next send is the first one.
             if not self._progress.sends or self._claim.reserve():
-                self._note_repeat(end)
+                self._record_repeat(end)
                 return True
             self._context.metrics.count_refused_repeat(self._service)
             exchangelog.log_refused_repeat(self._describe_repeat(end))
         self._give_up(end)
         return False
 
-    def _note_repeat(self, end: SendOutcome) -> None:
+    def _record_repeat(self, end: SendOutcome) -> None:
         exchangelog.log_repeat(self._describe_repeat(end))
         if self._progress.sends:
             self._context.metrics.count_repeat(end.value)
@@ -311,8 +313,8 @@
             request_id=self.request_id,
             last_event=self._last_event,
             deliver=self._deliver,
-            progress=lambda: self._note_progress(endpoint),
-            note_facts=lambda facts: self._note_facts(endpoint, facts),
+            progress=lambda: self._record_progress(endpoint),
+            record_facts=lambda facts: self._record_facts(endpoint, facts),
         )
         transfer = Transfer(
             request=self._make_request(admission, endpoint, now),
@@ -323,7 +325,7 @@
         self._search.give_back()
         self._claim.end_send(has_left=transfer.sent)
         transfer_end = end if isinstance(end, TransferEnd) else None
-        self._check.note_end(receiver, transfer_end, endpoint, sent=now)
+        self._check.record_end(receiver, transfer_end, endpoint, sent=now)
         return self._judge(transfer, receiver, end, endpoint)
 
     async def _run_transfer(
@@ -340,7 +342,7 @@
         if isinstance(endpoint, GroupEndpoint):
             watch = self._state.watch(endpoint.group)
         if watch is not None:
-            watch.note_sent(self.request_id, now)
+            watch.record_sent(self.request_id, now)
         running = loop.create_task(self._borrow_and_run(transfer))
         _RUNNING.add(running)
         running.add_done_callback(_RUNNING.discard)
@@ -353,7 +355,7 @@
             )
         finally:
             if watch is not None:
-                watch.note_end(self.request_id)
+                watch.record_end(self.request_id)
             self._transfer = None
             interrupted, self._interrupted = self._interrupted, None
         if running.done():
@@ -405,13 +407,13 @@
         is_late = timeliness is Timeliness.LATE
         return min(LEAST_URGENT, 1 + 2 * admission.priority + is_late)
 
-    def _note_progress(self, endpoint: Endpoint) -> None:
+    def _record_progress(self, endpoint: Endpoint) -> None:
         if isinstance(endpoint, GroupEndpoint):
-            self._state.watch(endpoint.group).note_progress(read_clock())
+            self._state.watch(endpoint.group).record_progress(read_clock())
 
-    def _note_facts(self, endpoint: Endpoint, facts: AnswerFacts) -> None:
+    def _record_facts(self, endpoint: Endpoint, facts: AnswerFacts) -> None:
         if facts.limit is not None:
-            self._state.note_limit(endpoint.server, facts.limit, read_clock())
+            self._state.record_limit(endpoint.server, facts.limit, read_clock())
 
     def _deliver(self, head: Head, events: bytes) -> None:
         """Pass whole events on to the caller."""
@@ -454,10 +456,14 @@
         now = read_clock()
         if isinstance(endpoint, GroupEndpoint):
             if end is SendOutcome.COMPLETE:
-                self._state.note_success(endpoint.group)
+                self._state.record_success(endpoint.group)
             elif end is SendOutcome.FAILED and is_server_error(status):
-                self._state.note_failure(endpoint.group, now)
-        is_lost = end in (SendOutcome.NOT_RUN, SendOutcome.LOST, SendOutcome.STALLED)
+                self._state.record_failure(endpoint.group, now)
+        is_lost = end in (
+            SendOutcome.NOT_RUN,
+            SendOutcome.LOST,
+            SendOutcome.STALLED,
+        )
         if is_lost and not self._has_left and now < self._expires:
             self._state.avoid(endpoint.name, now)
 
--- a/chervilrock/edges/serving/exchangelog.py
+++ b/chervilrock/edges/serving/exchangelog.py
@@ -11,8 +11,8 @@
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.events import emit, Event
 from chervilrock.serving_metrics import RequestEnd
-from chervilrock.tasks.serving.state import ServingState
 from chervilrock.tasks.serving.poisondetector import BrokenSend
+from chervilrock.tasks.serving.state import ServingState
 
 _MS_PER_S = 1000
 
--- a/chervilrock/edges/serving/places.py
+++ b/chervilrock/edges/serving/places.py
@@ -14,18 +14,18 @@
 from chervilrock.decisions.serving.site import RouteKind
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
 from chervilrock.decisions.serving.waiting import (
+    Availability,
     decide_wait,
-    find_give_up,
     DELIVERY_MARGIN_S,
-    Availability,
+    find_give_up,
     WaitingRequest,
 )
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.connection import CallerConnection
 from chervilrock.edges.serving.suspectcheck import SuspectCheck
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 Endpoint = GroupEndpoint | ServerEndpoint
 Place = Choice[GroupEndpoint] | Choice[ServerEndpoint]
@@ -136,7 +136,7 @@
                 return None
             if timeliness is not Timeliness.ON_TIME:
                 return refusal
-            self._state.shortages.note_missed(
+            self._state.shortages.record_missed(
                 self._request.facts.model, read_clock()
             )
         return None
@@ -149,7 +149,7 @@
     def give_back(self) -> None:
         """Free the place, so that another request may have it."""
         if self.place is not None:
-            self._state.note_ended(self.place.endpoint.server)
+            self._state.record_ended(self.place.endpoint.server)
             self.place = None
             self._waitqueue.notify()
 
@@ -198,7 +198,7 @@
         if self.place is None:
             return False
         server = self.place.endpoint.server
-        self._state.note_sent(server)
+        self._state.record_sent(server)
         self._state.limits.consume(server, now)
         return True
 
--- a/chervilrock/edges/serving/receiver.py
+++ b/chervilrock/edges/serving/receiver.py
@@ -35,7 +35,7 @@
         last_event: str,
         deliver: Callable[[Head, bytes], None],
         progress: Callable[[], None],
-        note_facts: Callable[[AnswerFacts], None] = lambda _facts: None,
+        record_facts: Callable[[AnswerFacts], None] = lambda _facts: None,
     ) -> None:
         """Wait for an answer.
 
@@ -49,7 +49,7 @@
         self._request_id = request_id
         self._deliver = deliver
         self._progress = progress
-        self._note_facts = note_facts
+        self._record_facts = record_facts
         self.splitter = EventSplitter(last_event=last_event)
         self.facts: AnswerFacts | None = None
         self.body = bytearray()
@@ -69,8 +69,10 @@
         judged = classify_answer(
             self.facts, request_id=self._request_id, is_whole=True
         )
-        self.is_relayed = judged is SendOutcome.COMPLETE and self.facts.is_stream
-        self._note_facts(self.facts)
+        self.is_relayed = (
+            judged is SendOutcome.COMPLETE and self.facts.is_stream
+        )
+        self._record_facts(self.facts)
         self._progress()
 
     def take_data(self, data: bytes) -> None:
@@ -85,7 +87,9 @@
         if events:
             self._deliver(self._head, events)
 
-    def judge(self, transfer: Transfer, end: TransferEnd | SendOutcome) -> SendOutcome:
+    def judge(
+        self, transfer: Transfer, end: TransferEnd | SendOutcome
+    ) -> SendOutcome:
         """Return how the send ended.
 
         Args:
--- a/chervilrock/edges/serving/repeatclaim.py
+++ b/chervilrock/edges/serving/repeatclaim.py
@@ -24,7 +24,7 @@
     def admit(self, service: str, now: float) -> None:
         """Note where the request goes, and count it."""
         self._service = service
-        self._state.budget(service).note_request(now)
+        self._state.budget(service).record_request(now)
 
     def reserve(self) -> bool:
         """Reserve a repeat; False when the bound leaves no room for it."""
--- a/chervilrock/edges/serving/suspectcheck.py
+++ b/chervilrock/edges/serving/suspectcheck.py
@@ -5,8 +5,8 @@
 from chervilrock.decisions.serving.contents import identify_content
 from chervilrock.decisions.serving.site import Workspace
 from chervilrock.decisions.serving.suspects import (
-    MIN_ANNOUNCED_CRASHES,
     MAX_CRASHES,
+    MIN_ANNOUNCED_CRASHES,
     Suspect,
 )
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
@@ -15,8 +15,8 @@
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.receiver import AnswerReceiver
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.state import ServingState
 from chervilrock.tasks.serving.poisondetector import BrokenSend, PoisonDetector
+from chervilrock.tasks.serving.state import ServingState
 
 
 class SuspectCheck:
@@ -63,7 +63,7 @@
         ends = MIN_ANNOUNCED_CRASHES if self._is_broken else MAX_CRASHES
         await self._poisondetector.wait_for_verdict(self._content, ends, until)
 
-    def note_end(
+    def record_end(
         self,
         receiver: AnswerReceiver,
         end: TransferEnd | None,
@@ -90,7 +90,7 @@
             since_first_byte_s=since_first_byte_s or 0.0,
             since_sent_s=now - sent,
         )
-        self._poisondetector.note_broken(broken, now)
+        self._poisondetector.record_broken(broken, now)
         exchangelog.log_broken(
             self._request.facts.request_id, broken, end, since_first_byte_s
         )
@@ -98,7 +98,9 @@
     def record_completion(self) -> None:
         """Clear the request, whose whole answer came."""
         poisondetector = self._poisondetector
-        if not poisondetector.is_empty() and poisondetector.count_crashes(self._content):
+        if not poisondetector.is_empty() and poisondetector.count_crashes(
+            self._content
+        ):
             poisondetector.record_completion(self._content)
 
     @functools.cached_property
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -219,19 +219,19 @@
         self._unsent += size
         # The library completes only the future of the last write, and does so
         # when any write before it is done.
-        flushed.add_done_callback(self._note_flushed)
+        flushed.add_done_callback(self._record_flushed)
         if self._unsent > MAX_UNSENT_BYTES and self._blocked_since is None:
             self._blocked_since = self._now()
             if self._transfer is not None:
                 self._transfer.pause()
 
-    def _note_flushed(self, flushed: "asyncio.Future[None]") -> None:
+    def _record_flushed(self, flushed: "asyncio.Future[None]") -> None:
         """Goes on with the transfer once all is written."""
         if flushed.exception() is not None:
             self.close()
         elif self._stream.writing():
             if not self._closed:
-                self._handler.flush().add_done_callback(self._note_flushed)
+                self._handler.flush().add_done_callback(self._record_flushed)
         else:
             self._release()
 
--- a/chervilrock/node/entry.py
+++ b/chervilrock/node/entry.py
@@ -89,10 +89,10 @@
     def _start_work(self) -> None:
         for name, work in list_work(self._core, self._parts).items():
             task = asyncio.create_task(work, name=name)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._record_end)
             self._running.append(task)
 
-    def _note_end(self, task: "asyncio.Task[None]") -> None:
+    def _record_end(self, task: "asyncio.Task[None]") -> None:
         """End the node when a task fails: a half node must not serve."""
         if task.cancelled() or task.exception() is None:
             return
@@ -110,7 +110,7 @@
             revision=configuration.revision,
         )
         configuration.set_snapshot_duty(view.serving.holds_lease)
-        self._parts.peers.note_controller(view.serving.controller)
+        self._parts.peers.record_controller(view.serving.controller)
         # Parts of workspace bounds settle by time, also without requests.
         self._path.gate.sweep(self._clock())
         self._measure()
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -37,8 +37,8 @@
     decode_crash_report,
     decode_limit,
 )
-from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import RetryBounds, ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 MAX_REQUESTS = 1024
 """Requests to backend servers at once, far above the slots of all groups."""
@@ -188,7 +188,7 @@
             self._serve(metrics, peers)
         for work in (self._task.run(), self._watch_groups()):
             task = asyncio.create_task(work)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._record_end)
             self._running.append(task)
         emit(
             Event.SERVING_STARTED,
@@ -255,7 +255,7 @@
             await server.close_all_connections()
         self._client.close()
 
-    def _note_end(self, task: "asyncio.Task[None]") -> None:
+    def _record_end(self, task: "asyncio.Task[None]") -> None:
         """End the process when a task has failed; half a node serves nobody."""
         if task.cancelled():
             return
@@ -361,7 +361,7 @@
         report = decode_crash_report(body)
         if report is None:
             return Reply(status=400)
-        self._task.poisondetector.note_report(report, now)
+        self._task.poisondetector.record_report(report, now)
         return Reply(status=200)
 
     def _answer_limit(self, body: bytes) -> Reply:
--- a/chervilrock/standin/engine.py
+++ b/chervilrock/standin/engine.py
@@ -198,7 +198,7 @@
         if attempt is None:
             return False
         self._batch.cancel(attempt)
-        self._note_load()
+        self._record_load()
         return True
 
     def find_attempt(self, request_id: str, position: int) -> Attempt | None:
@@ -226,20 +226,20 @@
         if not self._batch.offer(attempt):
             return None
         self.link_attempt(attempt_id, attempt)
-        self._note_load()
+        self._record_load()
         self._work.set()
         return attempt
 
     def break_streams(self) -> None:
         """Breaks all attempts, since the group lost a host."""
         self._batch.break_all()
-        self._note_load()
+        self._record_load()
 
     def check_group(self) -> GroupCondition:
         """Checks whether the group of the engine is whole."""
         return self.shards.check_group()
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         counts = _Counts(
             len(self._batch.running),
             self._batch.waiting_count,
@@ -260,7 +260,7 @@
             step_at = await self._wait_step(step_at)
             await self._wait_resumed()
             if self._batch.step(self.clock()):
-                self._note_load()
+                self._record_load()
 
     async def _wait_resumed(self) -> None:
         await self.faults.wait_resumed()
@@ -286,7 +286,7 @@
             answer = attempt.answer
             self.executions[answer.request_id] += 1
             attempt.start(now + self._prefill(answer, now) / _MS_PER_S)
-            self._note_load()
+            self._record_load()
 
     def _prefill(self, answer: Answer, now: float) -> float:
         """Fills the cache and returns the time that it takes in ms."""
--- a/chervilrock/tasks/configurations.py
+++ b/chervilrock/tasks/configurations.py
@@ -167,10 +167,10 @@
     def _handle(self, message: Message, now: float) -> None:
         if isinstance(message, PageRead):
             self._read_at = now
-            self._outages.note_success(STREAM, now)
+            self._outages.record_success(STREAM, now)
             self._take_page(message, now)
         elif isinstance(message, ReadFailed):
-            self._outages.note_failure(STREAM, message.error.message, now)
+            self._outages.record_failure(STREAM, message.error.message, now)
         elif isinstance(message, BatchAppended):
             self._take_append(message, now)
         elif isinstance(message, ApplyCommand):
@@ -191,14 +191,14 @@
         if self.read_task is not None and result.position != message.start:
             self.read_task.move(result.position)
         for upto in result.snapshots:
-            self._schedule.note_read(upto, now)
+            self._schedule.record_read(upto, now)
         self._settle(result)
 
     def _settle(self, result: ReadResult) -> None:
         """Answer the operators whose records were read back."""
         for step in result.steps:
             record_id = step.stored.record.record_id
-            self._note_loss(step.verdict)
+            self._record_loss(step.verdict)
             if step.verdict.kind is VerdictKind.DUPLICATE:
                 continue
             pending = self._pending.pop(record_id, None)
@@ -206,7 +206,7 @@
                 continue
             pending.command.reply.set_result(self._judge(step.verdict.accepted))
 
-    def _note_loss(self, verdict: Verdict) -> None:
+    def _record_loss(self, verdict: Verdict) -> None:
         """Log a configuration that another one came before."""
         body = verdict.body
         if verdict.reason is not Reason.STALE_BASE:
@@ -285,7 +285,7 @@
         parts = split_snapshot(name, fold.upto, fold.export())
         for part in parts:
             self.append_task.inbox.offer(self._writer.prepare(part))
-        self._schedule.note_written(now)
+        self._schedule.record_written(now)
         events.emit(
             events.Event.SNAPSHOT_WRITTEN,
             snapshot=name,
--- a/chervilrock/tasks/idleness.py
+++ b/chervilrock/tasks/idleness.py
@@ -22,7 +22,7 @@
         self._since: dict[str, float] = {}
         self._idle: set[str] = set()
 
-    def note_load(self, message: GroupLoad) -> None:
+    def record_load(self, message: GroupLoad) -> None:
         """Take a load report."""
         since = self._since.get(message.group)
         if since is None or message.reported_at < since + SETTLE_S:
--- a/chervilrock/tasks/keys.py
+++ b/chervilrock/tasks/keys.py
@@ -117,7 +117,7 @@
             self._claims.finish(message.name, message.outcome)
         elif isinstance(message, AppendEnded):
             self._append = None
-            self._claims.note_appended(ok=message.ok)
+            self._claims.record_appended(ok=message.ok)
         elif isinstance(message, PageRead):
             decisions = map(self._claims.apply_record, message.page.records)
             self._tell(tuple(one for one in decisions if one is not None))
--- a/chervilrock/tasks/outages.py
+++ b/chervilrock/tasks/outages.py
@@ -17,7 +17,7 @@
         """Return whether the last read of a stream failed."""
         return stream in self._since
 
-    def note_failure(self, stream: str, reason: str, now: float) -> None:
+    def record_failure(self, stream: str, reason: str, now: float) -> None:
         """Note that a read failed at `now`."""
         if stream not in self._since:
             self._since[stream] = now
@@ -26,7 +26,7 @@
             )
         self._count(stream, now)
 
-    def note_success(self, stream: str, now: float) -> None:
+    def record_success(self, stream: str, now: float) -> None:
         """Note that a read succeeded at `now`."""
         since = self._since.pop(stream, None)
         if since is None:
--- a/chervilrock/tasks/pace.py
+++ b/chervilrock/tasks/pace.py
@@ -27,7 +27,7 @@
         self._spent_s = 0.0
         self._hurries = False
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """Note that there is something new to decide on."""
         self.awaits = True
 
@@ -44,7 +44,7 @@
             wait_s = max(SHORTEST_S, over_s / SHARE)
         return self._hurries or now >= self._decided_at + wait_s
 
-    def note_decided(self, now: float, *, cost_s: float, awaits: bool) -> None:
+    def record_decided(self, now: float, *, cost_s: float, awaits: bool) -> None:
         """Note a decision.
 
         Args:
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -13,13 +13,13 @@
 from chervilrock.clients.httpclient import check_status, HttpClient
 from chervilrock.decisions.membership.exchange import Message, PeerExchange
 from chervilrock.decisions.membership.links import PeerLinks
-from chervilrock.decisions.membership.losses import LossDetector
 from chervilrock.decisions.membership.localconfiguration import (
     LocalConfiguration,
     ShareTracker,
 )
-from chervilrock.decisions.membership.validation import is_valid_digest
+from chervilrock.decisions.membership.losses import LossDetector
 from chervilrock.decisions.membership.table import MemberTable
+from chervilrock.decisions.membership.validation import is_valid_digest
 from chervilrock.generated.interfaces import PeerDigest
 from chervilrock.tasks.clock import Clock
 
@@ -142,9 +142,9 @@
             for task in self._under_way:
                 task.cancel()
 
-    def note_controller(self, address: str) -> None:
+    def record_controller(self, address: str) -> None:
         """Take the controller that the log names as one more seed."""
-        self._links.note_controller(address)
+        self._links.record_controller(address)
 
     def begin(self) -> None:
         """Begin the exchanges of an interval."""
@@ -196,9 +196,9 @@
                 return
             task = asyncio.create_task(self._run_exchange(message))
             self._under_way.add(task)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._record_end)
 
-    def _note_end(self, task: "asyncio.Task[None]") -> None:
+    def _record_end(self, task: "asyncio.Task[None]") -> None:
         """Keep the error of an exchange, so that `run` ends with it."""
         self._under_way.discard(task)
         if not task.cancelled() and task.exception() is not None:
--- a/chervilrock/tasks/region.py
+++ b/chervilrock/tasks/region.py
@@ -149,7 +149,7 @@
             self._take_page(message, ports)
         elif isinstance(message, ReadFailed):
             stream = self._identity.stream
-            self._outages.note_failure(stream, message.error.message, now)
+            self._outages.record_failure(stream, message.error.message, now)
         elif isinstance(message, BatchAppended):
             self._take_append(message)
         elif isinstance(message, HostsListed):
@@ -160,7 +160,7 @@
             self._take_configuration(message, now)
         elif isinstance(message, GroupLoad):
             if self._control is not None:
-                self._control.note_load(message)
+                self._control.record_load(message)
         elif isinstance(message, ReportWanted):
             # Whoever asked may have given up while this process stood still.
             if not message.reply.done():
@@ -177,14 +177,14 @@
             )
 
     def _take_page(self, message: PageRead, ports: RegionPorts) -> None:
-        self._outages.note_success(self._identity.stream, message.read_at)
+        self._outages.record_success(self._identity.stream, message.read_at)
         self._read_at = message.read_at
         was_known = self._reader.known
         result = self._reader.read(message.start, message.page)
         if result.position != message.start:
             ports.reader.move(result.position)
         if was_known and not self._reader.known:
-            self._events.note_trimmed(
+            self._events.record_trimmed(
                 self._identity.stream, message.start, message.page.first_offset
             )
         self._follow(result, message.read_at)
@@ -194,7 +194,7 @@
         if result.restored:
             self._adopt_snapshot(now)
         for upto in result.snapshots:
-            self._schedule.note_read(upto, now)
+            self._schedule.record_read(upto, now)
         for step in result.steps:
             self._follow_step(step, now)
 
@@ -210,18 +210,18 @@
             return
         self._lease.read(record.record_id, step.verdict, now)
         if self._control is not None:
-            self._control.note_read(record.record_id)
+            self._control.record_read(record.record_id)
             if record.kind is not RecordKind.CONTROLLER_RENEWED:
-                self._control.note_change()
+                self._control.record_change()
         if step.verdict.accepted:
-            self._events.note_record(step.verdict.body, step.stored.offset)
+            self._events.record_record(step.verdict.body, step.stored.offset)
 
     def _take_append(self, message: BatchAppended) -> None:
         if message.error is None:
             taken = message.ended_at - message.sent_at
             self._metrics.log_append_seconds.observe(taken)
         if self._control is not None:
-            self._control.note_appended(message)
+            self._control.record_appended(message)
 
     def _take_hosts(self, message: HostsListed) -> None:
         """Take over a host list that is another than the last one."""
@@ -240,13 +240,13 @@
         known = self._hosts.keys() | self._region.owners.keys()
         self._presence.retain(set(known))
         if self._control is not None:
-            self._control.note_change()
+            self._control.record_change()
 
     def _take_order(self, message: OrderAnswered) -> None:
         if self._control is not None:
-            self._control.note_answered(message)
+            self._control.record_answered(message)
         if message.accepted is False and message.state is not None:
-            self._events.note_refused(
+            self._events.record_refused(
                 message.host, message.order["fence"], message.state["fence"]
             )
 
@@ -257,7 +257,7 @@
         self._revision = message.revision
         self._views.measure(self._make_picture(), now)
         if self._control is not None:
-            self._control.note_configuration()
+            self._control.record_configuration()
 
     def _step(self, ports: RegionPorts, now: float) -> None:
         """Decide everything that is due."""
@@ -267,7 +267,7 @@
         picture = self._make_picture()
         changed = self._views.update(picture, now)
         if changed and self._control is not None:
-            self._control.note_change()
+            self._control.record_change()
         self._control_safely(ports, now)
         self._views.publish(picture, ports, now)
 
--- a/chervilrock/tasks/region_control.py
+++ b/chervilrock/tasks/region_control.py
@@ -61,36 +61,36 @@
         self._clock = clock
         self._pace = Pace()
 
-    def note_configuration(self) -> None:
+    def record_configuration(self) -> None:
         """Note that another configuration is in force."""
         self._pace.hurry()
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """Note that something in the region has changed."""
-        self._pace.note_change()
+        self._pace.record_change()
 
-    def note_read(self, record_id: RecordId) -> None:
+    def record_read(self, record_id: RecordId) -> None:
         """Note that a record was read back, whatever came of it."""
-        self._progress.note_read(record_id)
+        self._progress.record_read(record_id)
 
-    def note_appended(self, message: BatchAppended) -> None:
+    def record_appended(self, message: BatchAppended) -> None:
         """Note records that surely were not appended."""
         if message.error is None or message.error.effect_possible:
             return
-        self._pace.note_change()
+        self._pace.record_change()
         for record in message.records:
-            self._progress.note_read(record.record_id)
+            self._progress.record_read(record.record_id)
 
-    def note_answered(self, message: OrderAnswered) -> None:
+    def record_answered(self, message: OrderAnswered) -> None:
         """Note the answer to an order."""
-        self._pace.note_change()
-        self._progress.note_answered(
+        self._pace.record_change()
+        self._progress.record_answered(
             message.host, message.order, message.accepted, message.sent_at
         )
 
-    def note_load(self, message: GroupLoad) -> None:
+    def record_load(self, message: GroupLoad) -> None:
         """Note the load report of a group."""
-        self._idle.note_load(message)
+        self._idle.record_load(message)
 
     def control(
         self, facts: RegionFacts, out_since: float | None, now: float
@@ -111,7 +111,7 @@
         if out_since is not None:
             self._control_outage(facts, out_since, now)
         cost_s = self._clock() - started_at
-        self._pace.note_decided(now, cost_s=cost_s, awaits=awaits)
+        self._pace.record_decided(now, cost_s=cost_s, awaits=awaits)
 
     def _control_leased(self, facts: RegionFacts, now: float) -> bool:
         """Append and order what the lease allows; return if there was any."""
@@ -183,7 +183,7 @@
         if isinstance(effect, AppendRecord):
             self._append(effect.body, now)
             return
-        self._progress.note_ordered(effect, now)
+        self._progress.record_ordered(effect, now)
         request = OrderRequest(
             host=effect.host,
             address=effect.address,
@@ -195,7 +195,7 @@
     def _append(self, body: Body, now: float) -> None:
         """Append a record and note it as under way."""
         record = self._writer.prepare(body)
-        self._progress.note_appended(body, record.record_id, now)
+        self._progress.record_appended(body, record.record_id, now)
         self._ports.appender.inbox.offer(record)
 
     def _write_snapshot(self, region: RegionState, now: float) -> None:
@@ -204,7 +204,7 @@
         name = f"{self._writer.writer}/{self._stream}/{region.upto}"
         for part in split_snapshot(name, region.upto, region.export()):
             self._ports.appender.inbox.offer(self._writer.prepare(part))
-        self._schedule.note_written(now)
+        self._schedule.record_written(now)
         events.emit(
             events.Event.SNAPSHOT_WRITTEN,
             snapshot=name,
--- a/chervilrock/tasks/region_events.py
+++ b/chervilrock/tasks/region_events.py
@@ -27,13 +27,13 @@
         self._epoch = 0
         self._missing: dict[str, str] = {}
 
-    def note_trimmed(self, stream: str, wanted: int, first: int) -> None:
+    def record_trimmed(self, stream: str, wanted: int, first: int) -> None:
         """Log that records were trimmed before they were read."""
         emit(
             Event.LOG_TRIMMED, stream=stream, wanted=wanted, first_offset=first
         )
 
-    def note_lease(self, epoch: int, now: float) -> None:
+    def record_lease(self, epoch: int, now: float) -> None:
         """Log that the lease was won or lost; `epoch` is 0 without one."""
         if epoch == self._epoch:
             return
@@ -48,16 +48,16 @@
             emit(Event.LEASE_ACQUIRED, region=self._region, epoch=epoch)
         self._epoch = epoch
 
-    def note_released(self, epoch: int) -> None:
+    def record_released(self, epoch: int) -> None:
         """Log that this node gave the lease up."""
         emit(Event.LEASE_RELEASED, region=self._region, epoch=epoch)
         self._epoch = 0
 
-    def note_refused(self, host: str, fence: int, seen: int) -> None:
+    def record_refused(self, host: str, fence: int, seen: int) -> None:
         """Log that an engine refused an order."""
         emit(Event.ORDER_REFUSED, host=host, fence=fence, seen=seen)
 
-    def note_record(self, body: Body | None, offset: int) -> None:
+    def record_record(self, body: Body | None, offset: int) -> None:
         """Log what an accepted record means."""
         if isinstance(body, GroupGranted):
             emit(
@@ -75,7 +75,7 @@
                 fence=body.reserve or offset,
             )
         elif isinstance(body, GroupPhaseChanged):
-            self._note_phase(body)
+            self._record_phase(body)
         elif isinstance(body, HostQuarantined):
             emit(
                 Event.HOST_QUARANTINED,
@@ -86,7 +86,7 @@
         elif isinstance(body, HostCleared):
             emit(Event.HOST_CLEARED, host=body.host, fence=body.fence)
 
-    def _note_phase(self, body: GroupPhaseChanged) -> None:
+    def _record_phase(self, body: GroupPhaseChanged) -> None:
         if body.phase is GroupPhase.SERVING:
             emit(Event.GROUP_SERVING, group=body.group, fence=body.fence)
         elif body.phase is GroupPhase.DRAINING:
@@ -98,7 +98,7 @@
         elif body.phase is GroupPhase.DISSOLVED:
             emit(Event.GROUP_DISSOLVED, group=body.group)
 
-    def note_presence(
+    def record_presence(
         self, broken: Iterable[Group], presence: PresenceTable, now: float
     ) -> None:
         """Log hosts of serving groups that went missing or came back.
--- a/chervilrock/tasks/region_lease.py
+++ b/chervilrock/tasks/region_lease.py
@@ -61,7 +61,7 @@
         if not self.stopping:
             step = self._lease.decide(now, known=known).step
             self._take_step(step, region, appender, now)
-        self._events.note_lease(self._lease.holder.epoch, now)
+        self._events.record_lease(self._lease.holder.epoch, now)
 
     def give_up(self, appender: AppendTask, now: float) -> None:
         """Release the lease, and claim none any more."""
@@ -70,7 +70,7 @@
             epoch = self._lease.holder.epoch
             record = self._writer.prepare(ControllerReleased(epoch=epoch))
             appender.inbox.offer(record)
-            self._events.note_released(epoch)
+            self._events.record_released(epoch)
         self._lease.holder.drop()
 
     def _take_step(
@@ -99,5 +99,5 @@
 
     def _append(self, body: Body, appender: AppendTask, now: float) -> None:
         record = self._writer.prepare(body)
-        self._lease.holder.note_sent(record.record_id, now)
+        self._lease.holder.record_sent(record.record_id, now)
         appender.inbox.offer(record)
--- a/chervilrock/tasks/region_views.py
+++ b/chervilrock/tasks/region_views.py
@@ -132,11 +132,13 @@
         for mailbox in ports.views:
             mailbox.offer(view)
 
-    def _note(self, picture: RegionPicture, change: EndpointChange, now: float) -> None:
+    def _note(
+        self, picture: RegionPicture, change: EndpointChange, now: float
+    ) -> None:
         """Log and measure what has changed."""
         if change.groups or change.expiries:
             broken = self.endpoints.list_broken()
-            self._events.note_presence(broken, self._presence, now)
+            self._events.record_presence(broken, self._presence, now)
         if change.groups or self._meter.is_due(now):
             self.measure(picture, now)
 
--- a/chervilrock/tasks/serving/dependency.py
+++ b/chervilrock/tasks/serving/dependency.py
@@ -17,7 +17,7 @@
         self.answered_at = now
         self._lost_at: float | None = None
 
-    def note_answer(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record an answer; log the recovery after a loss."""
         self.answered_at = now
         if self._lost_at is not None:
@@ -27,7 +27,7 @@
             )
             self._lost_at = None
 
-    def note_failure(self, reason: str, now: float) -> None:
+    def record_failure(self, reason: str, now: float) -> None:
         """Record a failed call; log the first one as a loss."""
         if self._lost_at is None:
             self._lost_at = now
--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -63,7 +63,7 @@
         """Read the newest records."""
         result = await self._store.fetch_newest(self._topic)
         if isinstance(result, Failure):
-            await self._note_failure(result.failure())
+            await self._record_failure(result.failure())
             return
         await self._deliver(result.unwrap(), is_snapshot=True)
 
@@ -75,7 +75,7 @@
         wait_s = self._choose_schedule().long_poll_s if is_long_poll else 0.0
         result = await self._store.read(self._topic, position, wait_s)
         if isinstance(result, Failure):
-            await self._note_failure(result.failure())
+            await self._record_failure(result.failure())
             return
         page = result.unwrap()
         if page is None or page.era != self._era:
@@ -96,7 +96,7 @@
         self._position = page.next_offset
         self._era = page.era
 
-    async def _note_failure(self, error: PlatformError) -> None:
+    async def _record_failure(self, error: PlatformError) -> None:
         """Send a failure to the outbox and wait before the next attempt."""
         self.has_failed = True
         reason = f"{error.kind.value}: {error.message}"
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -7,7 +7,6 @@
 from returns.result import Failure
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.hostcounts import INTERVAL_S, ModelCount
 from chervilrock.decisions.serving.controller import Controller
 from chervilrock.decisions.serving.effects import (
     Command,
@@ -16,6 +15,7 @@
     StatusQuery,
 )
 from chervilrock.decisions.serving.entries import NewestEntries
+from chervilrock.decisions.serving.hostcounts import INTERVAL_S, ModelCount
 from chervilrock.decisions.serving.leadership import (
     find_interval,
     find_min_interval,
@@ -29,9 +29,9 @@
 from chervilrock.decisions.serving.site import SiteConfiguration
 from chervilrock.decisions.serving.storehealth import StoreMonitor
 from chervilrock.decisions.serving.view import (
-    merge_summaries,
     Announcement,
     GroupEndpoint,
+    merge_summaries,
     ServerEndpoint,
     ServingView,
     Summary,
@@ -44,7 +44,7 @@
     ServerAnswered,
 )
 from chervilrock.tasks.serving.outbound import DecodeServer, Outbound
-from chervilrock.tasks.serving.peers import Update, Peers
+from chervilrock.tasks.serving.peers import Peers, Update
 from chervilrock.tasks.serving.state import ServingState
 
 OUTAGE_GRACE_S = 2.3
@@ -103,7 +103,9 @@
         self._counted_at = float("-inf")
         self.host_counts: tuple[ModelCount, ...] = ()
         self._pending_removals: dict[str, float] = {}
-        self._follower = outbound.follow(Topic.SERVERS, lambda: SERVERS_SCHEDULE)
+        self._follower = outbound.follow(
+            Topic.SERVERS, lambda: SERVERS_SCHEDULE
+        )
 
     def close(self) -> None:
         """Stop leading."""
@@ -135,22 +137,22 @@
         """Record that streams of a group have stalled on some node."""
         self._controller.record_stall(group, now)
 
-    def note_limit(self, server: str, rate: float | None) -> None:
+    def record_limit(self, server: str, rate: float | None) -> None:
         """Record the rate limit that a server sent to a node, None for none."""
         if self._limits.record(server, rate):
             emit(Event.LIMIT_TOLD, server=server, rate=rate)
 
-    def note_report(self, answered: ServerAnswered, now: float) -> None:
+    def record_report(self, answered: ServerAnswered, now: float) -> None:
         """Record the status report of a server."""
-        self._controller.note_report(answered.server, answered.report, now)
+        self._controller.record_report(answered.server, answered.report, now)
 
-    def note_reply(self, answered: OrderAnswered, now: float) -> None:
+    def record_reply(self, answered: OrderAnswered, now: float) -> None:
         """Record the outcome of an order."""
-        self._controller.note_reply(
+        self._controller.record_reply(
             answered.server, answered.order, answered.reply, now
         )
 
-    def note_servers(self, read: RecordsRead, now: float) -> None:
+    def record_servers(self, read: RecordsRead, now: float) -> None:
         """Apply changed and removed entries of servers."""
         self._has_servers = self._has_servers or read.is_snapshot
         self._check_restore(read, now)
@@ -165,7 +167,7 @@
                 emit(Event.RECORD_UNREADABLE, key=record.key, reason=reason)
                 continue
             entry = self._entries.update(decoded.unwrap())
-            self._controller.note_server(entry, now)
+            self._controller.record_server(entry, now)
 
     def keep_known_servers(self, now: float) -> None:
         """Keep the servers that this process knew in its previous term.
@@ -173,7 +175,7 @@
         The store was restored from a backup, which lacks some of them.
         """
         for entry in self._entries.list_present():
-            self._controller.note_server(entry, now)
+            self._controller.record_server(entry, now)
             self._pending_removals.setdefault(entry.server, now)
 
     def _check_restore(self, read: RecordsRead, now: float) -> None:
@@ -185,7 +187,7 @@
         for entry in self._entries.list_present():
             self._pending_removals.setdefault(entry.server, now)
 
-    def note_answered(self, answered: PeerAnswered, now: float) -> None:
+    def record_answered(self, answered: PeerAnswered, now: float) -> None:
         """Record the outcome of an announcement."""
         incarnation = answered.incarnation
         answer = answered.acknowledgement
@@ -194,9 +196,9 @@
         if node is None:
             return
         if answer is None or answer.node.incarnation != incarnation:
-            self._relays.note_failure(incarnation, now)
+            self._relays.record_failure(incarnation, now)
         elif answer.relayed is not None:
-            self._relays.note_answer(node, answer.relayed, now)
+            self._relays.record_relay_answer(node, answer.relayed, now)
 
     @property
     def interval_s(self) -> float:
@@ -218,7 +220,7 @@
         self._log_new_relays(former)
         self._peers.sync(self._recipients.nodes, now)
         self._summarize_answers(now)
-        self._controller.note_requests(
+        self._controller.record_requests(
             self._loads, self._limits.find_rates(), now
         )
         for effect in self._controller.step(now):
@@ -241,7 +243,7 @@
             return
         for server in self._pending_removals:
             emit(Event.SERVER_GONE, server=server)
-            self._entries.note_gone(server)
+            self._entries.record_gone(server)
             self._controller.record_removed(server)
         self._pending_removals.clear()
 
@@ -271,10 +273,12 @@
             loads[server] = loads.get(server, 0) + count
         self._loads = loads
         self._senders = summary.senders + bool(state.own_loads)
-        state.apply_loads(loads, state.own_loads, senders=self._senders, now=now)
+        state.apply_loads(
+            loads, state.own_loads, senders=self._senders, now=now
+        )
         state.has_traffic = state.has_traffic or summary.has_traffic
         if state.has_traffic:
-            self._controller.note_traffic()
+            self._controller.record_traffic()
         for group in summary.stalled:
             self._controller.record_stall(group, now)
 
@@ -394,7 +398,8 @@
             revision=max(state.revision, self._summary.revision),
             has_traffic=state.has_traffic,
             is_stopping=state.is_stopping,
-            is_store_unreachable=now - self._store.answered_at > STORE_TIMEOUT_S,
+            is_store_unreachable=now - self._store.answered_at
+            > STORE_TIMEOUT_S,
             lost_after_s=MISSED_INTERVALS * interval_s,
             is_relay=False,
             store_recoveries=self._store.recoveries,
--- a/chervilrock/tasks/serving/limitreports.py
+++ b/chervilrock/tasks/serving/limitreports.py
@@ -26,7 +26,11 @@
         self._reported_at = float("-inf")
 
     def act(
-        self, now: float, *, leading: LeaderRole | None, leader: NodeEntry | None
+        self,
+        now: float,
+        *,
+        leading: LeaderRole | None,
+        leader: NodeEntry | None,
     ) -> None:
         """Report the limits that the leader has not announced, if due.
 
@@ -41,6 +45,8 @@
         self._reported_at = now
         for server, rate in unannounced.items():
             if leading is not None:
-                leading.note_limit(server, rate)
+                leading.record_limit(server, rate)
             elif leader is not None:
-                self._outbound.send_limit_report(leader, LimitReported(server, rate))
+                self._outbound.send_limit_report(
+                    leader, LimitReported(server, rate)
+                )
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -10,8 +10,8 @@
 from returns.result import Failure
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.hostcounts import ModelCount
 from chervilrock.decisions.serving.entries import NewestEntries
+from chervilrock.decisions.serving.hostcounts import ModelCount
 from chervilrock.decisions.serving.leadership import (
     Claim,
     Leadership,
@@ -23,11 +23,11 @@
     list_designated,
     Reader,
 )
+from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.revisions import RevisionTracker
 from chervilrock.decisions.serving.routes import RouteTable
 from chervilrock.decisions.serving.storehealth import StoreStatus
 from chervilrock.decisions.serving.terms import make_term
-from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
     Announcement,
@@ -41,8 +41,8 @@
 from chervilrock.tasks.serving.limitreports import LimitReports
 from chervilrock.tasks.serving.messages import (
     ClaimAnswered,
-    DocumentRead,
     CrashReportAnswered,
+    DocumentRead,
     LimitReported,
     Message,
     OrderAnswered,
@@ -62,11 +62,11 @@
     Ports,
     SUSPECT_PREFIX,
 )
+from chervilrock.tasks.serving.poisondetector import PoisonDetector
 from chervilrock.tasks.serving.reads import StoreReads
 from chervilrock.tasks.serving.relay import Relay
-from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.poisondetector import PoisonDetector
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 TICK_S = 0.05
 """Longest time between two checks for due actions."""
@@ -132,7 +132,9 @@
             now=now,
         )
         self._relay = Relay(state=state, outbound=self._outbound)
-        self.poisondetector = PoisonDetector(state=state, outbound=self._outbound)
+        self.poisondetector = PoisonDetector(
+            state=state, outbound=self._outbound
+        )
         self._limit_reports = LimitReports(state=state, outbound=self._outbound)
 
     async def run(self) -> None:
@@ -159,7 +161,9 @@
     @property
     def host_counts(self) -> tuple[ModelCount, ...]:
         """Host counts for each model; empty unless this node leads."""
-        return () if self._leader_role is None else self._leader_role.host_counts
+        return (
+            () if self._leader_role is None else self._leader_role.host_counts
+        )
 
     @property
     def has_followers(self) -> bool:
@@ -311,7 +315,8 @@
             has_leader_contact=self._leadership.has_contact(now),
             rank=self._find_rank(),
             nodes=len(self._state.known_nodes),
-            is_store_unavailable=self._reads.store.unavailable_since is not None,
+            is_store_unavailable=self._reads.store.unavailable_since
+            is not None,
             is_designated=self._is_designated or self.is_relay,
             is_registered=self._is_registered,
             leaderless_s=self._leadership.find_leaderless_s(now),
@@ -344,16 +349,16 @@
     def _handle(self, message: Message, now: float) -> None:
         match message:
             case RecordsRead():
-                self._note_store_answer(message.topic, now)
+                self._record_store_answer(message.topic, now)
                 self._check_era(message, now)
                 self._handle_records(message, now)
             case ReadFailed():
-                self._reads.note_failure(message, now)
+                self._reads.record_failure(message, now)
             case OrderAnswered():
                 self._handle_order_answer(message, now)
             case ServerAnswered():
                 if self._leader_role is not None:
-                    self._leader_role.note_report(message, now)
+                    self._leader_role.record_report(message, now)
             case PeerAnswered():
                 self._handle_peer_answer(message, now)
             case ClaimAnswered():
@@ -363,21 +368,21 @@
             case DocumentRead():
                 self._apply_document(message.document, message.source, now)
             case ServerChecked():
-                self.poisondetector.note_checked(message, now)
+                self.poisondetector.record_checked(message, now)
             case CrashReportAnswered():
-                self.poisondetector.note_answered(message, now)
+                self.poisondetector.record_answered(message, now)
             case SuspectWritten():
-                self.poisondetector.note_written(message)
+                self.poisondetector.record_written(message)
             case LimitReported():
                 if self._leader_role is not None:
-                    self._leader_role.note_limit(message.server, message.rate)
+                    self._leader_role.record_limit(message.server, message.rate)
             case StallReported():
                 if self._leader_role is not None:
                     self._leader_role.record_stall(message.group, now)
 
-    def _note_store_answer(self, topic: Topic, now: float) -> None:
+    def _record_store_answer(self, topic: Topic, now: float) -> None:
         """Record an answer of the store to a call for a topic."""
-        if self._reads.note_answer(topic, now):
+        if self._reads.record_answer(topic, now):
             self._renew_reads("the store answers again", topic)
 
     def _check_era(self, read: RecordsRead, now: float) -> None:
@@ -405,7 +410,7 @@
         self._is_claiming = False
         if not answered.is_answered:
             self._claimed_offset = NO_OFFSET
-            self._reads.store.note_failure(
+            self._reads.store.record_failure(
                 Topic.NODES.value, now, is_timeout=True
             )
         elif answered.is_outdated:
@@ -446,7 +451,7 @@
                 self._handle_node_records(read, now)
             case Topic.SERVERS:
                 if self._leader_role is not None:
-                    self._leader_role.note_servers(read, now)
+                    self._leader_role.record_servers(read, now)
 
     def _apply_document(self, document: bytes, source: str, now: float) -> None:
         """Put a configuration into force if it is newer."""
@@ -493,7 +498,9 @@
                     self._apply_claim(Claim(term, entry), now)
                 elif record.key.startswith(SUSPECT_PREFIX):
                     content = record.key.removeprefix(SUSPECT_PREFIX)
-                    self.poisondetector.record_stored(content, record.value, now)
+                    self.poisondetector.record_stored(
+                        content, record.value, now
+                    )
                 elif not record.value:
                     known.pop(name, None)
                 elif record.key.startswith(NODE_PREFIX):
@@ -504,7 +511,7 @@
             self._is_registering = False
             self._is_registered = False
         # This process may itself be the successor of the leader's process.
-        self._leadership.note_node(self._leadership.own_entry, now)
+        self._leadership.record_node(self._leadership.own_entry, now)
         self._next_nodes_offset = read.page.next_offset
         if self._first_read_time is None:
             self._first_read_time = now
@@ -522,7 +529,7 @@
     def _add_node(self, entry: NodeEntry, now: float) -> None:
         """Add the entry of a node process."""
         self._state.known_nodes[entry.node] = entry
-        self._leadership.note_node(
+        self._leadership.record_node(
             LeaderEntry(entry.node, entry.incarnation), now
         )
 
@@ -536,7 +543,7 @@
         self._is_designated = is_designated(self._own, nodes)
 
     def _apply_claim(self, claim: Claim, now: float) -> None:
-        if not self._leadership.note_claim(claim, now):
+        if not self._leadership.record_claim(claim, now):
             return
         emit(
             Event.LEADER_CHANGED,
@@ -570,15 +577,15 @@
                 outcome=outcome,
             )
         if self._leader_role is not None:
-            self._leader_role.note_reply(answered, now)
+            self._leader_role.record_reply(answered, now)
 
     def _handle_peer_answer(self, answered: PeerAnswered, now: float) -> None:
         """Handle the answer to an announcement by the leader or a relay."""
         answer = answered.acknowledgement
         if self._leader_role is None:
-            self._relay.note_answered(answered, now)
+            self._relay.record_answered(answered, now)
         else:
-            self._leader_role.note_answered(answered, now)
+            self._leader_role.record_answered(answered, now)
         if answer is None:
             return
         if answer.node.incarnation != answered.incarnation:
@@ -597,7 +604,7 @@
             leader = announcement.leader
             entry = LeaderEntry(leader.node, leader.incarnation)
             self._apply_claim(Claim(announcement.term, entry), now)
-        self._leadership.note_announcement(
+        self._leadership.record_announcement(
             announcement.term,
             lost_after_s=announcement.lost_after_s,
             is_stepping_down=announcement.is_store_unreachable
@@ -634,10 +641,14 @@
             state.view_time = now
         if announcement.is_store_unreachable:
             self._reads.store.record_leader_outage(now)
-        store_status = StoreStatus(announcement.term, announcement.store_recoveries)
+        store_status = StoreStatus(
+            announcement.term, announcement.store_recoveries
+        )
         if self._reads.store.record_status(store_status):
             self._renew_reads("the leader announced that the store recovered")
-        self._revisions.record_reported(announcement.revision, state.revision, now)
+        self._revisions.record_reported(
+            announcement.revision, state.revision, now
+        )
         self._announcing_leader = announcement.leader
         self._waitqueue.notify()
 
@@ -670,7 +681,9 @@
         holder = self._announcing_leader
         if self._leader_role is not None:
             summary = self._leader_role.summary
-            self._revisions.record_reported(summary.revision, state.revision, now)
+            self._revisions.record_reported(
+                summary.revision, state.revision, now
+            )
             holder = summary.holder
         is_reading = self._is_read(Topic.CONFIGURATION)
         if not self._revisions.is_due(
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -36,8 +36,8 @@
 from chervilrock.tasks.serving.follower import FollowerTask, TopicFollower
 from chervilrock.tasks.serving.messages import (
     ClaimAnswered,
-    DocumentRead,
     CrashReportAnswered,
+    DocumentRead,
     LimitReported,
     Message,
     OrderAnswered,
@@ -161,7 +161,9 @@
         """Report to the leader that the streams of a group have stalled."""
         self._start(self._send_stall_report(leader, group))
 
-    def send_limit_report(self, leader: NodeEntry, limit: LimitReported) -> None:
+    def send_limit_report(
+        self, leader: NodeEntry, limit: LimitReported
+    ) -> None:
         """Report the stated rate limit of a server to the leader."""
         self._start(self._send_limit_report(leader, limit))
 
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -6,8 +6,8 @@
 from chervilrock.decisions.serving.suspects import Suspect
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
-    merge_summaries,
     Announcement,
+    merge_summaries,
     NodeEntry,
     ServingView,
     summarize,
--- a/chervilrock/tasks/serving/poisondetector.py
+++ b/chervilrock/tasks/serving/poisondetector.py
@@ -127,7 +127,7 @@
                 return
             await asyncio.sleep(VERDICT_POLL_INTERVAL_S)
 
-    def note_broken(self, broken: BrokenSend, now: float) -> None:
+    def record_broken(self, broken: BrokenSend, now: float) -> None:
         """Check the server of a send whose connection broke."""
         for server, (_, checked) in list(self._checked.items()):
             if now - checked > CHECK_RESULT_TTL_S:
@@ -150,7 +150,7 @@
             self._reports.record_completion(content)
             self._evaluate_at = float("-inf")
 
-    def note_checked(self, checked: ServerChecked, now: float) -> None:
+    def record_checked(self, checked: ServerChecked, now: float) -> None:
         """Apply the result of checking a server."""
         self._checked[checked.server] = (checked.is_alive, now)
         sends = self._checks.pop(checked.server, [])
@@ -178,14 +178,16 @@
             self._reports.record_crash(broken.content, crash)
             self._record_crash(broken.content, crash, now)
 
-    def _record_crash(self, content: str, crash: ServerCrash, now: float) -> None:
+    def _record_crash(
+        self, content: str, crash: ServerCrash, now: float
+    ) -> None:
         settle_s = SETTLE_S if self._is_leading else FOLLOWER_SETTLE_S
         if self._tracker.record_crash(content, crash, now, settle_s=settle_s):
             self._evaluate_at = float("-inf")
 
     # Other nodes.
 
-    def note_report(self, report: CrashReport, now: float) -> None:
+    def record_report(self, report: CrashReport, now: float) -> None:
         """Record the crashes and completions that another node reports."""
         for content, crash in report.crashes:
             self._record_crash(content, crash, now)
@@ -211,13 +213,16 @@
         """
         table = self._state.suspects
         listed = {suspect.content for suspect in suspects}
-        if version[0] == table.version[0] and len(suspects) < MAX_ANNOUNCED_SUSPECTS:
+        if (
+            version[0] == table.version[0]
+            and len(suspects) < MAX_ANNOUNCED_SUSPECTS
+        ):
             # The leader had these in its list before and has cleared them.
             for suspect in table.announced:
                 if suspect.content not in listed:
                     self._clear(suspect.content)
         for suspect in suspects:
-            self._tracker.note_suspect(suspect, now)
+            self._tracker.record_suspect(suspect, now)
         table.version = version
         table.announced = suspects
         self._evaluate_at = float("-inf")
@@ -228,9 +233,9 @@
         self._reports.drop(content)
         self._evaluate_at = float("-inf")
 
-    def note_answered(self, answered: CrashReportAnswered, now: float) -> None:
+    def record_answered(self, answered: CrashReportAnswered, now: float) -> None:
         """Handle the answer to a report of this node."""
-        self._reports.note_answered(answered, now)
+        self._reports.record_answered(answered, now)
 
     # The store.
 
@@ -254,10 +259,10 @@
             return
         suspect = _SUSPECT_DECODER.decode(value)
         self._stored.add(content)
-        self._tracker.note_suspect(suspect, now)
+        self._tracker.record_suspect(suspect, now)
         self._evaluate_at = float("-inf")
 
-    def note_written(self, written: SuspectWritten) -> None:
+    def record_written(self, written: SuspectWritten) -> None:
         """Handle the outcome of writing a record to the store."""
         self._writing.discard(written.content)
         if not written.is_written:
--- a/chervilrock/tasks/serving/reads.py
+++ b/chervilrock/tasks/serving/reads.py
@@ -109,15 +109,15 @@
         self.store.begin_term(now)
         self.renew(Topic.CONFIGURATION)
 
-    def note_answer(self, topic: Topic, now: float) -> bool:
+    def record_answer(self, topic: Topic, now: float) -> bool:
         """Record an answer of the store; return whether it has recovered."""
-        self._dependencies[topic].note_answer(now)
-        return self.store.note_answer(topic.value, now)
+        self._dependencies[topic].record_answer(now)
+        return self.store.record_answer(topic.value, now)
 
-    def note_failure(self, failed: ReadFailed, now: float) -> None:
+    def record_failure(self, failed: ReadFailed, now: float) -> None:
         """Record a failed read of a topic."""
-        self._dependencies[failed.topic].note_failure(failed.reason, now)
-        self.store.note_failure(
+        self._dependencies[failed.topic].record_failure(failed.reason, now)
+        self.store.record_failure(
             failed.topic.value, now, is_timeout=failed.is_timeout
         )
 
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -8,7 +8,7 @@
 from chervilrock.decisions.serving.view import Announcement, Summary
 from chervilrock.tasks.serving.messages import PeerAnswered
 from chervilrock.tasks.serving.outbound import Outbound
-from chervilrock.tasks.serving.peers import Update, Peers
+from chervilrock.tasks.serving.peers import Peers, Update
 from chervilrock.tasks.serving.state import ServingState
 
 
@@ -63,7 +63,7 @@
     def _interval_s(self) -> float:
         return self._lost_after_s / MISSED_INTERVALS
 
-    def note_answered(self, answered: PeerAnswered, now: float) -> None:
+    def record_answered(self, answered: PeerAnswered, now: float) -> None:
         """Record the answer to a forwarded announcement."""
         self._peers.record_answer(
             answered.incarnation,
--- a/chervilrock/tasks/serving/state.py
+++ b/chervilrock/tasks/serving/state.py
@@ -9,7 +9,10 @@
 
 from chervilrock.decisions.serving import placement
 from chervilrock.decisions.serving.activenodes import ActiveNodes
-from chervilrock.decisions.serving.failures import GroupFailures, exclude_failing
+from chervilrock.decisions.serving.failures import (
+    exclude_failing,
+    GroupFailures,
+)
 from chervilrock.decisions.serving.firstevents import FirstEventTimes
 from chervilrock.decisions.serving.lateness import UsualLimits
 from chervilrock.decisions.serving.messages import StatedLimit
@@ -22,8 +25,8 @@
 )
 from chervilrock.decisions.serving.shares import SlotShares
 from chervilrock.decisions.serving.shortage import Shortages
-from chervilrock.decisions.serving.stalls import StallDetector
 from chervilrock.decisions.serving.site import EngineProfile
+from chervilrock.decisions.serving.stalls import StallDetector
 from chervilrock.decisions.serving.suspects import SuspectTable
 from chervilrock.decisions.serving.view import (
     GroupEndpoint,
@@ -270,11 +273,11 @@
             server for server in self.view.servers if server.service == service
         ]
 
-    def note_sent(self, server: str) -> None:
+    def record_sent(self, server: str) -> None:
         """Record that a request of this node starts at an endpoint."""
         self._own_loads[server] = self._own_loads.get(server, 0) + 1
 
-    def note_ended(self, server: str) -> None:
+    def record_ended(self, server: str) -> None:
         """Record that a request of this node ended at an endpoint."""
         remaining = self._own_loads.get(server, 0) - 1
         if remaining > 0:
@@ -286,14 +289,14 @@
         """Avoid a group or server, given by name, for `AVOIDED_S`."""
         self._avoided_until[endpoint] = now + AVOIDED_S
 
-    def note_success(self, group: str) -> None:
+    def record_success(self, group: str) -> None:
         """Record that a group answered a request of this node."""
-        self._failures.note_success(group)
+        self._failures.record_success(group)
         self._failing_until.pop(group, None)
 
-    def note_failure(self, group: str, now: float) -> None:
+    def record_failure(self, group: str, now: float) -> None:
         """Avoid a group that failed a request, longer after each failure."""
-        avoided_s = self._failures.note_failure(group)
+        avoided_s = self._failures.record_failure(group)
         self._failing_until[group] = now + avoided_s
         emit(
             Event.GROUP_FAILING,
@@ -357,10 +360,10 @@
             for server, count in total.items()
         }
 
-    def note_limit(self, server: str, limit: StatedLimit, now: float) -> None:
+    def record_limit(self, server: str, limit: StatedLimit, now: float) -> None:
         """Record the rate limit that an answer of a server states."""
         names = (node.node for node in self.nodes)
-        change = self.limits.note_answer(server, limit, names, now)
+        change = self.limits.record_answer(server, limit, names, now)
         if change is LimitChange.NAMED:
             emit(Event.LIMIT_NAMED, server=server, rate=limit.rate)
         elif change is LimitChange.ENDED:
--- a/test/decisions/control/test_lease.py
+++ b/test/decisions/control/test_lease.py
@@ -10,8 +10,8 @@
 
 from chervilrock.decisions.lease import (
     LeaseHolder,
-    LeaseStep,
     LeaseObserver,
+    LeaseStep,
     LeaseTiming,
     LeaseView,
 )
@@ -52,16 +52,16 @@
 ):
     holder = LeaseHolder(lease_s=3.0)
     observer = LeaseObserver(drift=0.01, order_timeout_s=2.0)
-    holder.note_sent(MINE, sent * rate)
-    holder.note_accepted(MINE, 5)
-    observer.note_claim(5, 3.0, (sent + delay) * other)
+    holder.record_sent(MINE, sent * rate)
+    holder.record_accepted(MINE, 5)
+    observer.record_claim(5, 3.0, (sent + delay) * other)
     over = observer.over_at / other
     assert not holder.may_act(over * rate + 1e-6)
 
 
 def test_a_claim_counts_from_when_it_was_sent_first(view):
-    view.holder.note_sent(MINE, 10.0)
-    view.holder.note_sent(MINE, 12.0)
+    view.holder.record_sent(MINE, 10.0)
+    view.holder.record_sent(MINE, 12.0)
     view.read(MINE, claim(4), 12.5)
     assert view.may_act(12.9)
     assert_that(view.may_act(13.0), Is(False))
@@ -69,19 +69,19 @@
 
 
 def test_a_paused_holder_finds_its_lease_over(view):
-    view.holder.note_sent(MINE, 10.0)
+    view.holder.record_sent(MINE, 10.0)
     view.read(MINE, claim(4), 10.1)
     assert_that(view.decide(10.2, known=True).step, Is(LeaseStep.ACT))
     assert_that(view.may_act(500.0), Is(False))
     assert_that(view.decide(500.0, known=True).step, Is(LeaseStep.RENEW))
-    view.holder.note_sent(RecordId("me", 2), 500.0)
+    view.holder.record_sent(RecordId("me", 2), 500.0)
     assert_that(view.decide(500.1, known=True).step, Is(LeaseStep.STEP_DOWN))
     view.read(RecordId("me", 2), accepted(9, ControllerRenewed(4)), 500.2)
     assert view.may_act(502.9)
 
 
 def test_another_claim_ends_the_lease_at_once(view):
-    view.holder.note_sent(MINE, 10.0)
+    view.holder.record_sent(MINE, 10.0)
     view.read(MINE, claim(4), 10.1)
     view.read(OTHER, claim(7), 10.2)
     assert_that(view.may_act(10.2), Is(False))
@@ -120,7 +120,7 @@
 def test_orders_of_earlier_controllers_end_before_the_quiet_time(view):
     view.read(OTHER, claim(4), 10.0)
     view.read(OTHER, accepted(5, ControllerRenewed(4)), 12.0)
-    view.holder.note_sent(MINE, 16.0)
+    view.holder.record_sent(MINE, 16.0)
     view.read(MINE, claim(9), 16.1)
     assert_that(view.observer.quiet_at, Equals(12.0 + 3.0 * 1.01 + 2.0))
 
--- a/test/decisions/control/test_safety.py
+++ b/test/decisions/control/test_safety.py
@@ -83,14 +83,14 @@
 
 def count_from_reading(patch):
     """Count the lease from when its renewal was read."""
-    noted = LeaseHolder.note_accepted
+    noted = LeaseHolder.record_accepted
 
-    def note_accepted(self, record_id, epoch):
+    def record_accepted(self, record_id, epoch):
         if record_id in self._sent:
             self._sent[record_id] += 3.0
         noted(self, record_id, epoch)
 
-    patch.setattr(LeaseHolder, "note_accepted", note_accepted)
+    patch.setattr(LeaseHolder, "note_accepted", record_accepted)
 
 
 def serve_one_short(patch):
--- a/test/decisions/control/world.py
+++ b/test/decisions/control/world.py
@@ -134,7 +134,7 @@
         for step in result.steps:
             record_id = step.stored.record.record_id
             self.lease.read(record_id, step.verdict, now)
-            self.progress.note_read(record_id)
+            self.progress.record_read(record_id)
         if result.restored:
             controller = self.region.controller
             lease_s = controller.lease_s if controller else None
@@ -164,7 +164,7 @@
         else:
             return
         record = self.writer.prepare(body)
-        self.lease.holder.note_sent(record.record_id, now)
+        self.lease.holder.record_sent(record.record_id, now)
         self.outbox.append(record)
 
     def control(self):
@@ -202,10 +202,10 @@
     def perform(self, effect, now):
         if isinstance(effect, AppendRecord):
             record = self.writer.prepare(effect.body)
-            self.progress.note_appended(effect.body, record.record_id, now)
+            self.progress.record_appended(effect.body, record.record_id, now)
             self.outbox.append(record)
         else:
-            self.progress.note_ordered(effect, now)
+            self.progress.record_ordered(effect, now)
             self.orders.append(effect)
 
     def plan(self, wanted, hosts):
@@ -351,4 +351,4 @@
         if accepted and order.get("shard") is not None:
             check_load(self, engine.name, order["group"])
         if node is not None:
-            node.progress.note_answered(engine.name, order, accepted, sent_at)
+            node.progress.record_answered(engine.name, order, accepted, sent_at)
--- a/test/decisions/limits/test_pool.py
+++ b/test/decisions/limits/test_pool.py
@@ -36,12 +36,12 @@
 
 def flood(pool, now):
     """Fill the slots from one workspace beside another active one."""
-    pool.usage.note_active("small", now)
-    pool.usage.note_active("large", now)
+    pool.usage.record_active("small", now)
+    pool.usage.record_active("large", now)
     pool.usage.start("small", now)
     while pool.has_slot("large"):
         pool.usage.start("large", now)
-    pool.note_saturated(now)
+    pool.record_saturated(now)
 
 
 def test_groups_are_reserved_for_workspaces_within_their_share(pool):
@@ -69,9 +69,9 @@
 
 
 def test_sole_workspace_may_use_every_group(pool):
-    pool.usage.note_active("large", 0.0)
+    pool.usage.record_active("large", 0.0)
     pool.usage.start("large", 0.0)
-    pool.note_saturated(0.0)
+    pool.record_saturated(0.0)
     assert_that(pool.reserved_groups("large", 0.0), HasLength(0))
 
 
--- a/test/decisions/membership/peer_world.py
+++ b/test/decisions/membership/peer_world.py
@@ -6,7 +6,9 @@
 
 from chervilrock.decisions.membership.exchange import Message, PeerExchange
 from chervilrock.decisions.membership.links import PeerLinks
-from chervilrock.decisions.membership.localconfiguration import LocalConfiguration
+from chervilrock.decisions.membership.localconfiguration import (
+    LocalConfiguration,
+)
 from chervilrock.decisions.membership.table import MemberTable
 from chervilrock.generated.interfaces import NodePhase, NodeUse, PeerDigest
 from chervilrock.generated.records import (
--- a/test/decisions/membership/test_membership.py
+++ b/test/decisions/membership/test_membership.py
@@ -288,7 +288,9 @@
 
 def test_an_older_configuration_is_not_adopted(world: World) -> None:
     for revision in (1, 2):
-        world.nodes["d1n0:1"].localconfiguration.adopt(make_stored(revision), world.now)
+        world.nodes["d1n0:1"].localconfiguration.adopt(
+            make_stored(revision), world.now
+        )
         world.run(3.0)
     old = PeerDigest(
         sender=make_node("d1n1", incarnation="d1n1.1", revision=1),
@@ -342,7 +344,7 @@
 def test_own_heartbeat_stays_ahead_of_reported_values(world: World) -> None:
     node = world.nodes["d1n0:1"]
     told = node.table.own._replace(heartbeat=10**9)
-    node.table.note_exchange(told, world.now)
+    node.table.record_exchange(told, world.now)
     assert_that(node.table.own.heartbeat, Equals(10**9))
     world.run(0.5)
     assert_that(node.table.own.heartbeat, GreaterThan(10**9))
--- a/test/decisions/membership/test_membership_machine.py
+++ b/test/decisions/membership/test_membership_machine.py
@@ -111,7 +111,9 @@
         node = self.choose(number)
         if node is not None:
             self.revision += 1
-            node.localconfiguration.adopt(make_stored(self.revision), self.world.now)
+            node.localconfiguration.adopt(
+                make_stored(self.revision), self.world.now
+            )
             node.update()
 
     @precondition(lambda self: self.world.carried)
@@ -140,7 +142,9 @@
                 assert peer.phase == self.phase_of(peer.incarnation)
 
     def newest(self) -> int:
-        return max(n.localconfiguration.revision for n in self.world.nodes.values())
+        return max(
+            n.localconfiguration.revision for n in self.world.nodes.values()
+        )
 
     def phase_of(self, incarnation: str) -> NodePhase:
         for node in self.world.nodes.values():
--- a/test/decisions/requests/test_guarantees.py
+++ b/test/decisions/requests/test_guarantees.py
@@ -12,7 +12,11 @@
 from chervilrock.decisions.requests.outcomes import AttemptEnd
 from chervilrock.decisions.requests.positions import StreamPositions
 from chervilrock.generated.interfaces import Outcome
-from test.decisions.requests.simulation import RequestSimulation, Script, SCRIPTS
+from test.decisions.requests.simulation import (
+    RequestSimulation,
+    Script,
+    SCRIPTS,
+)
 
 EXAMPLES = 300
 
--- a/test/decisions/requests/test_keys.py
+++ b/test/decisions/requests/test_keys.py
@@ -81,7 +81,7 @@
             self.log += batch
         if result == "late":
             self.late.append(batch)
-        node.claims.note_appended(ok=result == "stored")
+        node.claims.record_appended(ok=result == "stored")
 
     @rule(order=st.permutations(range(NODES)))
     def settle(self, order: list[int]) -> None:
@@ -179,10 +179,10 @@
     log: list[Record] = []
     node.claims.claim(NAMES[0], 0.0)
     log += node.claims.start_batch()
-    node.claims.note_appended(ok=False)
+    node.claims.record_appended(ok=False)
     (decision,) = node.claims.expire(WAIT_S)
     assert decision.verdict is KeyVerdict.NOT_RUN
-    node.claims.note_appended(ok=True)
+    node.claims.record_appended(ok=True)
     assert node.claims.claim(NAMES[0], WAIT_S) is KeyVerdict.WAIT
     log += node.claims.start_batch()
     decisions = [
@@ -203,7 +203,7 @@
         node.claims.claim(KeyName("w", str(number)), 0.0)
     assert_that(len(node.claims.start_batch()), Equals(keys.MAX_BATCH))
     assert node.claims.start_batch() == ()
-    node.claims.note_appended(ok=True)
+    node.claims.record_appended(ok=True)
     assert_that(len(node.claims.start_batch()), Equals(1))
 
 
@@ -211,7 +211,7 @@
     node = Node(0)
     node.claims.claim(NAMES[0], 0.0)
     node.claims.start_batch()
-    node.claims.note_appended(ok=False)
+    node.claims.record_appended(ok=False)
     assert node.claims.claim(NAMES[1], 0.0) is KeyVerdict.NOT_RUN
 
 
@@ -220,7 +220,7 @@
     first.claims.claim(NAMES[0], 0.0)
     first.claims.claim(NAMES[1], 0.0)
     log = list(first.claims.start_batch())
-    first.claims.note_appended(ok=True)
+    first.claims.record_appended(ok=True)
     first.claims.finish(NAMES[0], COMPLETE)
     first.claims.finish(NAMES[1], Outcome.FAILED)
     log += first.claims.start_batch()
--- a/test/decisions/routing/test_groupestimates.py
+++ b/test/decisions/routing/test_groupestimates.py
@@ -106,7 +106,7 @@
     expected_s = tracker.start("2", "g", 100.0)
     assert_that(tracker.count_pending_tokens("g"), Equals(600.0))
     assert_that(attempts.CACHED_FIRST_TOKEN_S, LessThan(expected_s))
-    tracker.note_first_token("1", "g", 0.1, 0.1)
+    tracker.record_first_token("1", "g", 0.1, 0.1)
     tracker.finish("2", "g")
     assert_that(tracker.count_pending_tokens("g"), Equals(0.0))
 
@@ -114,11 +114,11 @@
 def test_time_between_tokens_is_measured_since_the_last_progress():
     tracker = attempts.AttemptTracker()
     tracker.start("1", "g", 500.0)
-    tracker.note_first_token("1", "g", 0.5, 1.0)
-    too_few = tracker.note_progress("1", "g", 2, 1.1)
+    tracker.record_first_token("1", "g", 0.5, 1.0)
+    too_few = tracker.record_progress("1", "g", 2, 1.1)
     assert_that(too_few is None, Equals(True))
-    first = tracker.note_progress("1", "g", 9, 3.0)
-    second = tracker.note_progress("1", "g", 17, 4.0)
+    first = tracker.record_progress("1", "g", 9, 3.0)
+    second = tracker.record_progress("1", "g", 17, 4.0)
     assert first is not None
     assert second is not None
     assert_that([first, second], Equals([0.25, 0.125]))
--- a/test/decisions/serving/fleet.py
+++ b/test/decisions/serving/fleet.py
@@ -134,17 +134,17 @@
         controller = Controller(term=term)
         controller.set_configuration(CONFIGURATION)
         if self.has_traffic:
-            controller.note_traffic()
+            controller.record_traffic()
         for server in self.servers.values():
             if not server.is_dead:
-                controller.note_server(self.make_entry(server), self.now)
+                controller.record_server(self.make_entry(server), self.now)
         self.controller = controller
         return controller
 
     def start_traffic(self) -> None:
         """Start traffic, after which loads take their full time."""
         self.has_traffic = True
-        self.controller.note_traffic()
+        self.controller.record_traffic()
 
     def kill(self, name: str, entry_s: float = 2.5) -> None:
         """Stop a server; its entry is removed later."""
@@ -169,7 +169,7 @@
             self._deliver()
             self._finish_joins()
             if self.demand:
-                self.controller.note_requests(
+                self.controller.record_requests(
                     self._spread(), self.limited, self.now
                 )
             for effect in self.controller.step(self.now):
@@ -366,7 +366,7 @@
                     if not self.servers[name].is_dead:
                         self.obey(name, order)
                 case ("reply", name, order, reply):
-                    self.controller.note_reply(name, order, reply, self.now)
+                    self.controller.record_reply(name, order, reply, self.now)
                 case ("staged", name, model):
                     self.servers[name].staged = (model,)
                 case ("report", name, is_lost):
@@ -385,7 +385,7 @@
                 server.time_factor,
                 server.started_ms,
             )
-        self.controller.note_report(name, report, self.now)
+        self.controller.record_report(name, report, self.now)
 
     def _finish_joins(self) -> None:
         for server in self.servers.values():
@@ -403,4 +403,4 @@
     def _send_entries(self) -> None:
         for server in self.servers.values():
             if not server.is_dead:
-                self.controller.note_server(self.make_entry(server), self.now)
+                self.controller.record_server(self.make_entry(server), self.now)
--- a/test/decisions/serving/retry_fleet.py
+++ b/test/decisions/serving/retry_fleet.py
@@ -102,7 +102,7 @@
             while pending >= 1.0:
                 pending -= 1.0
                 node = self._generator.randrange(len(self._budgets))
-                self._budgets[node].note_request(now)
+                self._budgets[node].record_request(now)
                 self._requests.append(now)
             for node, budget in enumerate(self._budgets):
                 budget.refill(self._count_known(node, now), now)
--- a/test/decisions/serving/test_controller.py
+++ b/test/decisions/serving/test_controller.py
@@ -16,8 +16,8 @@
 )
 
 from chervilrock.decisions.serving import groupnames
-from chervilrock.decisions.serving.hostcounts import HostState
 from chervilrock.decisions.serving.groups import ManagedGroup
+from chervilrock.decisions.serving.hostcounts import HostState
 from chervilrock.decisions.serving.hosts import HostRegistry, IncarnationOrder
 from chervilrock.decisions.serving.orders import (
     Join,
@@ -402,7 +402,7 @@
     former = fleet.make_entry(fleet.servers[members[1]])
     fleet.restart(members[1])
     fleet.run(0.4)
-    fleet.controller.note_server(former, fleet.now)
+    fleet.controller.record_server(former, fleet.now)
     fleet.run(6.0)
     assert_that(fleet.serving(), Equals({"large": 3, "small": 3}))
     assert_that(fleet.violations, HasLength(0))
@@ -411,9 +411,14 @@
 def test_incarnations_of_a_server_are_ordered() -> None:
     hosts = HostRegistry()
     relations = [
-        hosts.record_incarnation("h", started_ms) for started_ms in (0, 5, 5, 0, 5, 7, 5, 7)
+        hosts.record_incarnation("h", started_ms)
+        for started_ms in (0, 5, 5, 0, 5, 7, 5, 7)
     ]
-    same, new, former = IncarnationOrder.SAME, IncarnationOrder.NEW, IncarnationOrder.FORMER
+    same, new, former = (
+        IncarnationOrder.SAME,
+        IncarnationOrder.NEW,
+        IncarnationOrder.FORMER,
+    )
     assert_that(
         relations, Equals([same, same, same, same, same, new, former, same])
     )
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -9,8 +9,8 @@
 
 from chervilrock.decisions.serving import groupnames
 from chervilrock.decisions.serving.attempts import (
-    decide_next,
     classify_answer,
+    decide_next,
     NextStep,
     Progress,
     SendOutcome,
@@ -31,11 +31,6 @@
     Denial,
     RouteTable,
 )
-from chervilrock.decisions.serving.stalls import (
-    compute_stall_limits,
-    StallDetector,
-    StallLimits,
-)
 from chervilrock.decisions.serving.site import (
     Limits,
     Route,
@@ -44,11 +39,16 @@
     WeightedService,
     Workspace,
 )
+from chervilrock.decisions.serving.stalls import (
+    compute_stall_limits,
+    StallDetector,
+    StallLimits,
+)
 from chervilrock.decisions.serving.streams import EventSplitter
 from chervilrock.decisions.serving.view import LeaderEntry
 from chervilrock.decisions.serving.waiting import (
-    decide_wait,
     Availability,
+    decide_wait,
     REPAIR_S,
     WaitingRequest,
 )
@@ -243,8 +243,7 @@
 def test_retries_of_all_nodes_stay_within_the_shared_limit() -> None:
     nodes = 9
     budgets = [
-        RetryBudget(ratio=0.2, slack=136.0, window_s=10.0)
-        for _ in range(nodes)
+        RetryBudget(ratio=0.2, slack=136.0, window_s=10.0) for _ in range(nodes)
     ]
     generator = random.Random(2)
     retries: list[float] = []
@@ -252,7 +251,7 @@
     for step in range(4000):
         now = step * 0.01
         budget = generator.choice(budgets)
-        budget.note_request(now)
+        budget.record_request(now)
         requests.append(now)
         for _ in range(3):
             chosen = generator.choice(budgets)
@@ -272,24 +271,24 @@
 
 def test_a_group_is_stalled_when_none_of_its_streams_progresses() -> None:
     watch = StallDetector()
-    watch.note_sent("a", 0.0)
-    watch.note_sent("b", 0.0)
-    watch.note_progress(0.1)
+    watch.record_sent("a", 0.0)
+    watch.record_sent("b", 0.0)
+    watch.record_progress(0.1)
     assert_that(watch.is_stalled(LIMITS, 0.25), Is(False))
     assert_that(watch.is_stalled(LIMITS, 0.35), Is(True))
-    watch.note_progress(0.36)
+    watch.record_progress(0.36)
     assert_that(watch.is_stalled(LIMITS, 0.4), Is(False))
-    watch.note_end("a")
-    watch.note_end("b")
+    watch.record_end("a")
+    watch.record_end("b")
     assert_that(watch.is_stalled(LIMITS, 9.0), Is(False))
 
 
 def test_an_idle_time_before_a_stream_is_no_stall() -> None:
     watch = StallDetector()
-    watch.note_sent("a", 0.0)
-    watch.note_progress(0.1)
-    watch.note_end("a")
-    watch.note_sent("b", 5.0)
+    watch.record_sent("a", 0.0)
+    watch.record_progress(0.1)
+    watch.record_end("a")
+    watch.record_sent("b", 5.0)
     assert_that(watch.is_stalled(LIMITS, 5.1), Is(False))
     assert_that(watch.is_stalled(LIMITS, 5.6), Is(True))
 
@@ -308,7 +307,7 @@
     reading_s = 13 * 1076 / 46000
     watch = StallDetector()
     for number in range(13):
-        watch.note_sent(str(number), 0.0)
+        watch.record_sent(str(number), 0.0)
     assert_that(watch.is_stalled(limits, reading_s + 0.15), Is(False))
     assert_that(watch.is_stalled(limits, limits.first_event_s + 0.01), Is(True))
 
@@ -326,7 +325,7 @@
     assert_that(claims, Equals([True, False, False]))
     claim = Claim(term=5, entry=nodes[0].own_entry)
     for node in nodes:
-        node.note_claim(claim, early)
+        node.record_claim(claim, early)
     assert_that(
         [node.is_leader for node in nodes], Equals([True, False, False])
     )
@@ -340,27 +339,29 @@
         for rank in range(3)
     ]
     for node in nodes:
-        node.note_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
-        node.note_announcement(5, lost_after_s=1.0, is_stepping_down=True, now=0.1)
+        node.record_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
+        node.record_announcement(
+            5, lost_after_s=1.0, is_stepping_down=True, now=0.1
+        )
     claims = [
         node.should_claim(rank, 3, 0.1 + CLAIM_STAGGER_S / 2)
         for rank, node in enumerate(nodes)
     ]
     assert_that(claims, Equals([True, False, False]))
     for node in nodes:
-        node.note_claim(Claim(6, nodes[0].own_entry), 0.2)
+        node.record_claim(Claim(6, nodes[0].own_entry), 0.2)
     assert_that(nodes[1].should_claim(1, 3, 0.6), Is(False))
 
 
 def test_any_node_replaces_a_leader_that_keeps_announcing_its_stop() -> None:
     # The leader announces each 0.25 s; the first three nodes are lost as well.
     node = Leadership(node="n", incarnation="i", now=0.0)
-    node.note_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
+    node.record_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
     claimed = None
     for step in range(40):
         now = step * 0.05
         if step % 5 == 0:
-            node.note_announcement(
+            node.record_announcement(
                 5, lost_after_s=0.75, is_stepping_down=True, now=now
             )
         if claimed is None and node.should_claim(3, 9, now):
@@ -371,24 +372,24 @@
 
 def test_a_leader_whose_process_was_replaced_is_lost_at_once() -> None:
     leadership = Leadership(node="n", incarnation="i", now=0.0)
-    leadership.note_claim(Claim(5, LeaderEntry("m", "old")), 0.0)
-    leadership.note_node(LeaderEntry("o", "new"), 0.01)
+    leadership.record_claim(Claim(5, LeaderEntry("m", "old")), 0.0)
+    leadership.record_node(LeaderEntry("o", "new"), 0.01)
     assert_that(leadership.should_claim(0, 3, 0.02), Is(False))
-    leadership.note_node(LeaderEntry("m", "new"), 0.02)
+    leadership.record_node(LeaderEntry("m", "new"), 0.02)
     assert_that(leadership.should_claim(0, 3, 0.03), Is(True))
 
 
 def test_a_claim_with_a_lower_term_is_ignored() -> None:
     leadership = Leadership(node="n", incarnation="i", now=0.0)
-    leadership.note_claim(Claim(7, LeaderEntry("m", "j")), 0.0)
-    is_new = leadership.note_claim(Claim(6, leadership.own_entry), 0.0)
+    leadership.record_claim(Claim(7, LeaderEntry("m", "j")), 0.0)
+    is_new = leadership.record_claim(Claim(6, leadership.own_entry), 0.0)
     assert_that(is_new, Is(False))
     assert_that(leadership.is_leader, Is(False))
 
 
 def test_a_restarted_process_is_not_the_leader_by_its_former_claim() -> None:
     leadership = Leadership(node="n", incarnation="new", now=0.0)
-    leadership.note_claim(Claim(7, LeaderEntry("n", "old")), 0.0)
+    leadership.record_claim(Claim(7, LeaderEntry("n", "old")), 0.0)
     assert_that(leadership.is_leader, Is(False))
 
 
@@ -413,7 +414,9 @@
 def test_a_request_waits_only_for_a_slot_that_may_become_available(
     has_endpoints: bool, is_forming: bool, shortest: float, longest: float
 ) -> None:
-    wait = WaitingRequest(Timeliness.ON_TIME, limit_s=6.0, on_time_s=0.25, gives_up_s=1.8)
+    wait = WaitingRequest(
+        Timeliness.ON_TIME, limit_s=6.0, on_time_s=0.25, gives_up_s=1.8
+    )
     prospect = Availability(has_endpoints=has_endpoints, is_forming=is_forming)
     patience = decide_wait(wait, prospect, draw=0.5)
     assert_that(patience.wait_s >= shortest, Is(True))
@@ -424,10 +427,10 @@
 def test_the_time_without_a_leader_counts_from_its_loss_or_notice() -> None:
     leadership = Leadership(node="n", incarnation="i", now=0.0)
     claim = Claim(5, LeaderEntry("m", "j"))
-    leadership.note_claim(claim, 1.0)
+    leadership.record_claim(claim, 1.0)
 
     def announce(now: float, *, is_stepping_down: bool) -> None:
-        leadership.note_announcement(
+        leadership.record_announcement(
             5, lost_after_s=0.75, is_stepping_down=is_stepping_down, now=now
         )
 
--- a/test/decisions/serving/test_entries.py
+++ b/test/decisions/serving/test_entries.py
@@ -42,7 +42,7 @@
 def test_the_last_entry_of_a_server_that_is_gone_is_kept(
     entries: NewestEntries,
 ) -> None:
-    entries.note_gone("i-1")
+    entries.record_gone("i-1")
     assert_that(list(entries.list_present()), HasLength(0))
     entries.record_restore()
     assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
--- a/test/decisions/serving/test_failures.py
+++ b/test/decisions/serving/test_failures.py
@@ -14,9 +14,9 @@
 
 from chervilrock.decisions.serving.failures import (
     BACKOFF_FACTOR,
-    GroupFailures,
-    FIRST_AVOIDANCE_S,
     exclude_failing,
+    FIRST_AVOIDANCE_S,
+    GroupFailures,
     MAX_AVOIDANCE_S,
 )
 from chervilrock.decisions.serving.placement import choose, GROUP_BOUND, Load
@@ -48,9 +48,9 @@
         for end, name in [item for item in running if item[0] <= now]:
             running.remove((end, name))
             if name not in FAILING:
-                failures.note_success(name)
+                failures.record_success(name)
             elif avoids_failing:
-                avoided[name] = end + failures.note_failure(name)
+                avoided[name] = end + failures.record_failure(name)
         loads = [name for _, name in running]
         failing = {name for name, end in avoided.items() if end > now}
         choice = choose(
@@ -82,7 +82,7 @@
 
 def test_the_time_of_avoidance_grows_up_to_a_limit() -> None:
     failures = GroupFailures()
-    times = [failures.note_failure("g") for _ in range(12)]
+    times = [failures.record_failure("g") for _ in range(12)]
     assert_that(
         times[:2],
         Equals([FIRST_AVOIDANCE_S, FIRST_AVOIDANCE_S * BACKOFF_FACTOR]),
@@ -93,15 +93,15 @@
 def test_a_success_resets_the_failures() -> None:
     failures = GroupFailures()
     for _ in range(5):
-        failures.note_failure("g")
-    failures.note_success("g")
-    assert_that(failures.note_failure("g"), Equals(FIRST_AVOIDANCE_S))
+        failures.record_failure("g")
+    failures.record_success("g")
+    assert_that(failures.record_failure("g"), Equals(FIRST_AVOIDANCE_S))
 
 
 def test_failures_of_removed_groups_are_forgotten() -> None:
     failures = GroupFailures()
     for name in ("g", "h"):
-        failures.note_failure(name)
+        failures.record_failure(name)
     failures.keep_only(frozenset({"h"}))
     assert_that(failures._counts, HasLength(1))
 
--- a/test/decisions/serving/test_polling.py
+++ b/test/decisions/serving/test_polling.py
@@ -41,7 +41,9 @@
     leaderless_s=0.0,
     lag_s=0.0,
 )
-LEADERLESS = STEADY._replace(is_following=False, has_leader_contact=False, leaderless_s=0.1)
+LEADERLESS = STEADY._replace(
+    is_following=False, has_leader_contact=False, leaderless_s=0.1
+)
 NOT_DESIGNATED = STEADY._replace(is_designated=False)
 
 
@@ -60,7 +62,9 @@
     # an unresponsive connection within the two seconds of a configuration.
     schedule = choose_configuration_schedule(STEADY._replace(is_leader=True))
     assert_that(schedule.long_poll_s, Equals(LEADER_LONG_POLL_S))
-    assert_that(schedule.long_poll_s + TIMEOUT_S + schedule.pause_s, LessThan(2.0))
+    assert_that(
+        schedule.long_poll_s + TIMEOUT_S + schedule.pause_s, LessThan(2.0)
+    )
 
 
 @pytest.mark.parametrize(
@@ -74,13 +78,17 @@
 
 def test_only_nodes_that_announce_a_recovery_retry_often():
     # The leader steps down without the store, but still announces.
-    stepping_down = STEADY._replace(is_following=False, is_store_unavailable=True)
+    stepping_down = STEADY._replace(
+        is_following=False, is_store_unavailable=True
+    )
     first = choose_nodes_schedule(stepping_down._replace(rank=CANDIDATES - 1))
     assert_that(first.retry_s, Equals(EAGER_RETRY_S))
     assert_that(SERVERS_SCHEDULE.retry_s, Equals(EAGER_RETRY_S))
     others = choose_configuration_schedule(stepping_down)
     assert_that(others.retry_s, Equals(STEADY_RETRY_S))
-    lost = choose_configuration_schedule(LEADERLESS._replace(is_store_unavailable=True))
+    lost = choose_configuration_schedule(
+        LEADERLESS._replace(is_store_unavailable=True)
+    )
     assert_that(lost.retry_s, Equals(LEADERLESS_RETRY_S))
 
 
@@ -146,4 +154,6 @@
     new = LEADERLESS._replace(may_lead=False, is_store_unavailable=True)
     assert_that(reads_configuration(new), Equals(True))
     assert_that(reads_nodes(new), Equals(False))
-    assert_that(reads_nodes(new._replace(is_store_unavailable=False)), Equals(True))
+    assert_that(
+        reads_nodes(new._replace(is_store_unavailable=False)), Equals(True)
+    )
--- a/test/decisions/serving/test_relays.py
+++ b/test/decisions/serving/test_relays.py
@@ -65,13 +65,13 @@
     table = RelayTable(data_centre="a")
     nodes = make_data_centre("b")
     table.choose(nodes, 0.0)
-    table.note_failure("i-b2", 1.0)
+    table.record_failure("i-b2", 1.0)
     (second,) = table.choose(nodes, 1.0).relays
     assert_that(second, Not(Equals("i-b2")))
     # A working relay is kept, even when the stronger one may be chosen again.
     later = 1.0 + 2 * RELAY_BACKOFF_S
     assert_that(table.choose(nodes, later).relays, Equals(frozenset({second})))
-    table.note_failure(second, later)
+    table.record_failure(second, later)
     assert_that(table.choose(nodes, later).relays, Equals(frozenset({"i-b2"})))
 
 
@@ -84,7 +84,7 @@
     chosen = ""
     while chosen != alive:
         (chosen,) = table.choose(nodes, calls * 0.01).relays
-        table.note_failure(chosen, calls * 0.01)
+        table.record_failure(chosen, calls * 0.01)
         calls += 1
     assert_that(calls, LessThan(len(nodes) + 1))
 
@@ -94,8 +94,8 @@
     nodes = make_data_centre("b")
     table.choose(nodes, 0.0)
     answer = Summary(nodes=("i-b0",), loads={"head": 3})
-    table.note_answer(nodes[2], answer, 0.0)
-    table.note_failure("i-b2", 0.6)
+    table.record_relay_answer(nodes[2], answer, 0.0)
+    table.record_failure("i-b2", 0.6)
     table.choose(nodes, 0.6)
     assert_that(table.list_answers(0.7), Equals([answer]))
     assert_that(table.list_answers(ANSWER_TTL_S + 0.1), HasLength(0))
@@ -104,7 +104,7 @@
 def test_answers_of_a_data_centre_are_dropped_with_its_nodes() -> None:
     table = RelayTable(data_centre="a")
     table.choose(make_data_centre("b"), 0.0)
-    table.note_answer(make_node("b2", "b"), Summary(nodes=("i-b0",)), 0.0)
+    table.record_relay_answer(make_node("b2", "b"), Summary(nodes=("i-b0",)), 0.0)
     table.choose([], 0.1)
     assert_that(table.list_answers(0.1), HasLength(0))
 
--- a/test/decisions/serving/test_retrybudget.py
+++ b/test/decisions/serving/test_retrybudget.py
@@ -113,7 +113,7 @@
 
 def test_own_requests_allow_a_retry_before_any_node_is_known(budget) -> None:
     for number in range(7):
-        budget.note_request(0.1 * number)
+        budget.record_request(0.1 * number)
     assert_that(budget.reserve(), Is(True))
 
 
--- a/test/decisions/serving/test_revisions.py
+++ b/test/decisions/serving/test_revisions.py
@@ -26,7 +26,9 @@
         tracker = RevisionTracker()
         read_at = generator.uniform(0.0, 0.1)
         reported_at = generator.uniform(0.0, 0.1)
-        tracker.record_reported(7, 7 if reported_at >= read_at else 6, reported_at)
+        tracker.record_reported(
+            7, 7 if reported_at >= read_at else 6, reported_at
+        )
         for step in range(100):
             now = step * 0.05
             request_count += tracker.is_due(7 if now >= read_at else 6, now)
--- a/test/decisions/serving/test_serverlimits.py
+++ b/test/decisions/serving/test_serverlimits.py
@@ -101,7 +101,7 @@
                 limits.consume(SERVER, now)
                 self.arrivals.append(now)
                 stated = StatedLimit(rate)
-                limits.note_answer(SERVER, stated, self.names, now)
+                limits.record_answer(SERVER, stated, self.names, now)
                 self._registry.record(SERVER, rate)
 
     def count_most(self) -> int:
@@ -152,7 +152,7 @@
 
 def make_limits(rate: float | None, own: str = "n0") -> ServerLimits:
     limits = ServerLimits(own=own)
-    limits.note_answer(SERVER, StatedLimit(rate), ["n0"], 0.0)
+    limits.record_answer(SERVER, StatedLimit(rate), ["n0"], 0.0)
     return limits
 
 
@@ -178,7 +178,7 @@
 
 def test_an_answer_without_a_limit_ends_it() -> None:
     limits = make_limits(1.0)
-    change = limits.note_answer(SERVER, StatedLimit(None), ["n0"], 1.0)
+    change = limits.record_answer(SERVER, StatedLimit(None), ["n0"], 1.0)
     expect(change, LimitChange.ENDED)
     assert_that(limits.may_send(SERVER, 1.0), Is(True))
 
@@ -187,7 +187,7 @@
     limits = make_limits(None)
     announced = [LimitedServer(SERVER, 1.0, ("n0",))]
     limits.apply_announcement(announced, 1.0)
-    limits.note_answer(SERVER, StatedLimit(None), ["n0"], 2.0)
+    limits.record_answer(SERVER, StatedLimit(None), ["n0"], 2.0)
     limits.apply_announcement(announced, 3.0)
     expect(limits.find_rate(SERVER), None)
     expect(limits.list_unannounced(), {SERVER: None})
@@ -199,7 +199,7 @@
     limits = make_limits(None)
     limits.apply_announcement([LimitedServer(SERVER, 1.0, ("n0",))], 1.0)
     limits.apply_announcement([], 2.0)
-    change = limits.note_answer(SERVER, StatedLimit(1.0), ["n0"], 3.0)
+    change = limits.record_answer(SERVER, StatedLimit(1.0), ["n0"], 3.0)
     expect(change, LimitChange.NAMED)
     limits.apply_announcement([], 3.1)
     expect(limits.find_rate(SERVER), 1.0)
@@ -210,23 +210,23 @@
 def test_a_limit_that_rises_or_falls_is_reported_again(rate) -> None:
     limits = make_limits(1.0)
     limits.apply_announcement([LimitedServer(SERVER, 1.0, ("n0",))], 1.0)
-    limits.note_answer(SERVER, StatedLimit(rate), ["n0"], 2.0)
+    limits.record_answer(SERVER, StatedLimit(rate), ["n0"], 2.0)
     assert_that(limits.find_rate(SERVER), Equals(rate))
     expect(limits.list_unannounced(), {SERVER: rate})
 
 
 def test_a_limit_that_hardly_changes_is_not_a_change() -> None:
     limits = make_limits(1.0)
-    change = limits.note_answer(SERVER, StatedLimit(1.04), ["n0"], 1.0)
+    change = limits.record_answer(SERVER, StatedLimit(1.04), ["n0"], 1.0)
     expect(change, None)
 
 
 def test_an_unreadable_limit_changes_nothing_and_is_reported_once() -> None:
     limits = make_limits(1.0)
     unreadable = StatedLimit(None, unreadable="-3")
-    change = limits.note_answer(SERVER, unreadable, ["n0"], 1.0)
+    change = limits.record_answer(SERVER, unreadable, ["n0"], 1.0)
     expect(change, LimitChange.UNREADABLE)
-    expect(limits.note_answer(SERVER, unreadable, ["n0"], 2.0), None)
+    expect(limits.record_answer(SERVER, unreadable, ["n0"], 2.0), None)
     expect(limits.find_rate(SERVER), 1.0)
 
 
--- a/test/decisions/serving/test_staging.py
+++ b/test/decisions/serving/test_staging.py
@@ -67,8 +67,8 @@
     tracker = StagingTracker()
     hosts = [make_host("small", "small")]
     assert_that(tracker.choose(hosts, ENGINE, NO_SORT_KEYS, 0.0), HasLength(1))
-    tracker.note_ordered("h", "large", LOAD_S, 0.0)
-    tracker.note_reply("h", Stage("large"), None, 0.5)
+    tracker.record_ordered("h", "large", LOAD_S, 0.0)
+    tracker.record_reply("h", Stage("large"), None, 0.5)
     end = LOAD_TIME_MARGIN * LOAD_S + RETRY_S
     assert_that(tracker.count(1.0), Equals(1))
     assert_that(
@@ -81,8 +81,8 @@
 def test_a_rejected_order_counts_as_no_load_and_is_sent_again() -> None:
     tracker = StagingTracker()
     hosts = [make_host("small", "small")]
-    tracker.note_ordered("h", "large", LOAD_S, 0.0)
-    tracker.note_reply("h", Stage("large"), OrderReply.CONFLICT, 0.1)
+    tracker.record_ordered("h", "large", LOAD_S, 0.0)
+    tracker.record_reply("h", Stage("large"), OrderReply.CONFLICT, 0.1)
     assert_that(tracker.count(0.2), Equals(0))
     assert_that(tracker.choose(hosts, ENGINE, NO_SORT_KEYS, 1.0), HasLength(0))
     assert_that(tracker.choose(hosts, ENGINE, NO_SORT_KEYS, 2.2), HasLength(1))
@@ -91,7 +91,7 @@
 def test_a_restarted_server_gets_its_order_again() -> None:
     tracker = StagingTracker()
     hosts = [make_host("small", "small")]
-    tracker.note_ordered("h", "large", LOAD_S, 0.0)
+    tracker.record_ordered("h", "large", LOAD_S, 0.0)
     tracker.forget("h")
     assert_that(tracker.choose(hosts, ENGINE, NO_SORT_KEYS, 1.0), HasLength(1))
 
--- a/test/decisions/serving/test_storehealth.py
+++ b/test/decisions/serving/test_storehealth.py
@@ -6,19 +6,19 @@
 from chervilrock.decisions.serving.storehealth import (
     MAX_READ_S,
     MIN_OUTAGE_S,
-    StoreStatus,
     StoreMonitor,
+    StoreStatus,
 )
 
 
 def test_the_first_answer_after_an_outage_counts_as_a_recovery():
     monitor = StoreMonitor(now=0.0)
-    assert_that(monitor.note_answer("servers", 1.0), Is(False))
-    monitor.note_failure("servers", 2.5, is_timeout=True)
-    monitor.note_failure("servers", 3.5, is_timeout=False)
+    assert_that(monitor.record_answer("servers", 1.0), Is(False))
+    monitor.record_failure("servers", 2.5, is_timeout=True)
+    monitor.record_failure("servers", 3.5, is_timeout=False)
     assert_that(monitor.unavailable_since == 2.5, Is(True))
-    assert_that(monitor.note_answer("servers", 4.0), Is(True))
-    assert_that(monitor.note_answer("servers", 4.1), Is(False))
+    assert_that(monitor.record_answer("servers", 4.0), Is(True))
+    assert_that(monitor.record_answer("servers", 4.1), Is(False))
     assert_that((monitor.recoveries, monitor.recovered_at), Equals((1, 4.0)))
     assert_that(monitor.unavailable_since is None, Is(True))
 
@@ -26,11 +26,11 @@
 def test_an_unanswered_topic_recovers_while_others_are_answered():
     # The answer to one read is lost; other reads are answered all the time.
     monitor = StoreMonitor(now=0.0)
-    monitor.note_answer("servers", 1.0)
-    monitor.note_failure("configuration", 1.1, is_timeout=True)
-    assert_that(monitor.note_answer("servers", 1.2), Is(False))
-    monitor.note_failure("configuration", 1.3, is_timeout=True)
-    assert_that(monitor.note_answer("configuration", 1.4), Is(True))
+    monitor.record_answer("servers", 1.0)
+    monitor.record_failure("configuration", 1.1, is_timeout=True)
+    assert_that(monitor.record_answer("servers", 1.2), Is(False))
+    monitor.record_failure("configuration", 1.3, is_timeout=True)
+    assert_that(monitor.record_answer("configuration", 1.4), Is(True))
 
 
 def test_answers_for_another_topic_are_no_recovery_of_an_unanswered_one():
@@ -39,8 +39,8 @@
     for step in range(40):
         now = step * 0.25
         if step % 5 == 0:
-            monitor.note_failure("configuration", now, is_timeout=True)
-        monitor.note_answer("servers", now)
+            monitor.record_failure("configuration", now, is_timeout=True)
+        monitor.record_answer("servers", now)
     assert_that(monitor.recoveries, Equals(0))
 
 
@@ -50,16 +50,16 @@
     for step in range(32):
         now = step * 0.25
         if step % 2:
-            monitor.note_failure("servers", now, is_timeout=False)
+            monitor.record_failure("servers", now, is_timeout=False)
         else:
-            monitor.note_answer("servers", now)
+            monitor.record_answer("servers", now)
     assert_that(monitor.recoveries, Equals(0))
 
 
 def test_a_store_that_rejected_all_calls_for_a_while_recovers():
     monitor = StoreMonitor(now=0.0)
-    monitor.note_failure("nodes", MIN_OUTAGE_S / 2, is_timeout=False)
-    assert_that(monitor.note_answer("servers", MIN_OUTAGE_S), Is(True))
+    monitor.record_failure("nodes", MIN_OUTAGE_S / 2, is_timeout=False)
+    assert_that(monitor.record_answer("servers", MIN_OUTAGE_S), Is(True))
 
 
 def test_each_announced_recovery_counts_once():
@@ -83,8 +83,8 @@
 def test_a_leader_counts_a_recovery_shortly_before_its_term():
     # The former leader was lost during the outage of the store.
     monitor = StoreMonitor(now=0.0)
-    monitor.note_failure("nodes", 1.0, is_timeout=True)
-    monitor.note_answer("nodes", 5.0)
+    monitor.record_failure("nodes", 1.0, is_timeout=True)
+    monitor.record_answer("nodes", 5.0)
     monitor.begin_term(5.1)
     assert_that(monitor.recoveries, Equals(1))
     monitor.begin_term(5.0 + MAX_READ_S)
--- a/test/decisions/serving/test_suspects.py
+++ b/test/decisions/serving/test_suspects.py
@@ -10,15 +10,15 @@
 )
 from chervilrock.decisions.serving.suspects import (
     FORGET_S,
+    MAX_ANNOUNCED_SUSPECTS,
     MAX_CONTENTS,
     MAX_CRASHES,
-    MAX_ANNOUNCED_SUSPECTS,
     RIVAL_SETTLE_S,
     ServerCrash,
     SETTLE_S,
     Suspect,
-    SuspectTracker,
     SuspectTable,
+    SuspectTracker,
     WITHHELD_S,
 )
 
@@ -49,7 +49,9 @@
 
 def list_withheld(tracker: SuspectTracker, now: float = LATER) -> list[str]:
     return [
-        suspect.content for suspect in tracker.evaluate(now) if suspect.is_withheld
+        suspect.content
+        for suspect in tracker.evaluate(now)
+        if suspect.is_withheld
     ]
 
 
@@ -190,7 +192,7 @@
     record_crashes(tracker, BYSTANDER, "AB", since_first_byte_s=0.3)
     successor = SuspectTracker()
     for suspect in tracker.evaluate(LATER):
-        successor.note_suspect(suspect, LATER)
+        successor.record_suspect(suspect, LATER)
     assert_that(list_withheld(successor), Equals([CAUSE]))
     record_crashes(successor, BYSTANDER, "C", since_first_byte_s=0.3)
     assert_that(list_withheld(successor, LATER + 1), Equals([CAUSE]))
--- a/test/decisions/serving/test_waiting.py
+++ b/test/decisions/serving/test_waiting.py
@@ -8,19 +8,21 @@
 
 from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.waiting import (
+    Availability,
     decide_wait,
     find_give_up,
     MAX_RETRY_AFTER_S,
-    Availability,
     REPAIR_S,
     RETRY_AFTER_JITTER,
-    WaitingRequest,
     WaitDecision,
+    WaitingRequest,
 )
 
 FULL = Availability(has_endpoints=True, is_forming=False)
 SHORTAGE = FULL._replace(shortage_s=2.0 * REPAIR_S)
-NEW = WaitingRequest(Timeliness.ON_TIME, limit_s=4.0, on_time_s=0.15, gives_up_s=1.7)
+NEW = WaitingRequest(
+    Timeliness.ON_TIME, limit_s=4.0, on_time_s=0.15, gives_up_s=1.7
+)
 LATE = NEW._replace(timeliness=Timeliness.LATE, on_time_s=-0.1)
 
 
--- a/test/edges/sites.py
+++ b/test/edges/sites.py
@@ -185,7 +185,7 @@
 
     def _settle_keys(self) -> list[KeyDecision]:
         self.key_log.records += self.claims.start_batch()
-        self.claims.note_appended(ok=True)
+        self.claims.record_appended(ok=True)
         decisions = []
         for record in self.key_log.records[self._keys_read :]:
             self._keys_read += 1
--- a/test/tasks/crashing_requests.py
+++ b/test/tasks/crashing_requests.py
@@ -9,7 +9,10 @@
 import random
 from typing import NamedTuple
 
-from chervilrock.decisions.serving.suspects import MIN_ANNOUNCED_CRASHES, MAX_CRASHES
+from chervilrock.decisions.serving.suspects import (
+    MAX_CRASHES,
+    MIN_ANNOUNCED_CRASHES,
+)
 from chervilrock.tasks.serving.poisondetector import BrokenSend
 from test.tasks.installation import Installation
 
@@ -53,7 +56,9 @@
         expires = loop.time() + CALLER_TIMEOUT_S
         min_crashes = MAX_CRASHES
         for _ in range(MAX_SENDS_PER_ATTEMPT):
-            await poisondetector.wait_for_verdict(self.content, min_crashes, expires)
+            await poisondetector.wait_for_verdict(
+                self.content, min_crashes, expires
+            )
             if address not in self._site.running_nodes:
                 return
             if member.state.suspects.find_withheld(self.content) is not None:
@@ -80,7 +85,7 @@
             since_first_byte_s=0.0,
             since_sent_s=CRASH_DELAY_S,
         )
-        member.task.poisondetector.note_broken(broken, loop.time())
+        member.task.poisondetector.record_broken(broken, loop.time())
 
     async def attempt_everywhere(self) -> None:
         """Make an attempt at each node at the same time."""
--- a/test/tasks/installation.py
+++ b/test/tasks/installation.py
@@ -40,8 +40,8 @@
     decode_announcement,
     decode_crash_report,
 )
-from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import RetryBounds, ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 STORE_S = 0.004
 """Time in which the store answers a call."""
@@ -236,7 +236,11 @@
     """Calls other nodes; a killed or partitioned one does not answer."""
 
     def __init__(
-        self, *, running_nodes: dict[str, RunningNode], own: str, partitioned: set[str]
+        self,
+        *,
+        running_nodes: dict[str, RunningNode],
+        own: str,
+        partitioned: set[str],
     ) -> None:
         self._running_nodes = running_nodes
         self._own = own
@@ -263,7 +267,7 @@
             report = decode_crash_report(options["body"])
             assert report is not None
             now = asyncio.get_running_loop().time()
-            node.task.poisondetector.note_report(report, now)
+            node.task.poisondetector.record_report(report, now)
             body = b""
         else:
             announcement = decode_announcement(gzip.decompress(options["body"]))
@@ -363,9 +367,13 @@
             node.connection.end_fault()
 
     def count_calls(self) -> int:
-        return sum(node.connection.calls for node in self.running_nodes.values())
+        return sum(
+            node.connection.calls for node in self.running_nodes.values()
+        )
 
-    async def wait_until(self, condition: Callable[[], bool], limit_s: float) -> None:
+    async def wait_until(
+        self, condition: Callable[[], bool], limit_s: float
+    ) -> None:
         """Wait until a condition holds or the time limit has passed."""
         deadline = self.loop.time() + limit_s
         while not condition() and self.loop.time() < deadline:
@@ -416,7 +424,9 @@
         )
         connection = StoreConnection(store=self.store)
         client: Any = PeerClient(
-            running_nodes=self.running_nodes, own=name, partitioned=self.partitioned
+            running_nodes=self.running_nodes,
+            own=name,
+            partitioned=self.partitioned,
         )
         unused: Any = None
         task = NodeTask(
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -16,6 +16,7 @@
 
 import pytest
 
+from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.routes import RouteTable
 from chervilrock.decisions.serving.site import (
     EngineProfile,
@@ -27,7 +28,6 @@
     SiteConfiguration,
     WeightedService,
 )
-from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.view import (
     GroupEndpoint,
     NodeEntry,
@@ -43,8 +43,8 @@
 from chervilrock.edges.serving.exchange import Context, Exchange
 from chervilrock.platform import headers as names
 from chervilrock.tasks.serving import waitqueue as waitqueue_module
-from chervilrock.tasks.serving.waitqueue import WaitQueue
 from chervilrock.tasks.serving.state import RetryBounds, ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 from test.tasks.virtual_time import run_virtually
 
 if TYPE_CHECKING:
--- a/test/tasks/stale_loads.py
+++ b/test/tasks/stale_loads.py
@@ -15,6 +15,7 @@
     GROUP_BOUND,
     WAITING_BOUND,
 )
+from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.routes import RouteTable
 from chervilrock.decisions.serving.site import (
     EngineProfile,
@@ -22,7 +23,6 @@
     Service,
     SiteConfiguration,
 )
-from chervilrock.decisions.serving.reportedloads import ReportedLoads
 from chervilrock.decisions.serving.view import (
     GroupEndpoint,
     NodeEntry,
@@ -220,7 +220,7 @@
         if choice is None:
             return None
         server = choice.endpoint.server
-        state.note_sent(server)
+        state.record_sent(server)
         self._running[server] += 1
         length_s = self._load.mean_s * self._generator.lognormvariate(-0.3, 0.7)
         heapq.heappush(self._ends, (now + length_s, server, number))
@@ -230,7 +230,7 @@
         while self._ends and self._ends[0][0] <= now:
             _, server, number = heapq.heappop(self._ends)
             self._running[server] -= 1
-            self._states[number].note_ended(server)
+            self._states[number].record_ended(server)
 
 
 def _make_groups(load: Load) -> tuple[GroupEndpoint, ...]:
--- a/test/tasks/sweep_crashes.py
+++ b/test/tasks/sweep_crashes.py
@@ -67,7 +67,9 @@
             mean_pause_s=MEAN_PAUSE_S,
         )
     )
-    await site.wait_until(lambda: len(request.sends) >= MAX_CRASHES - 1, MAX_WAIT_S)
+    await site.wait_until(
+        lambda: len(request.sends) >= MAX_CRASHES - 1, MAX_WAIT_S
+    )
     await asyncio.sleep(generator.uniform(0.0, 0.2))
     _inject_fault(site, fault)
     await site.wait_until(lambda: len(request.sends) >= MAX_CRASHES, MAX_WAIT_S)
--- a/test/tasks/test_designated_readers.py
+++ b/test/tasks/test_designated_readers.py
@@ -116,7 +116,9 @@
         site = await start(monkeypatch)
         site.add("n99", "p1")
         await asyncio.sleep(3.0)
-        known = [len(member.state.nodes) for member in site.running_nodes.values()]
+        known = [
+            len(member.state.nodes) for member in site.running_nodes.values()
+        ]
         await site.stop()
         return known
 
@@ -150,7 +152,9 @@
         leaderless_s = site.loop.time() - started_at
         await starting
         await asyncio.sleep(3.0)
-        known = {len(member.state.nodes) for member in site.running_nodes.values()}
+        known = {
+            len(member.state.nodes) for member in site.running_nodes.values()
+        }
         assert_that(known, Equals({len(site.running_nodes)}))
         await site.stop()
         return leaderless_s
--- a/test/tasks/test_peers.py
+++ b/test/tasks/test_peers.py
@@ -33,7 +33,11 @@
 )
 from chervilrock.tasks.peers import decode_digest, PeerChannel, PeerTask
 from test.decisions.membership.peer_nodes import make_node
-from test.decisions.membership.peer_world import make_stored, FakeShareTracker, FakeConfiguration
+from test.decisions.membership.peer_world import (
+    FakeConfiguration,
+    FakeShareTracker,
+    make_stored,
+)
 
 STEP_S = 0.5
 REFUSED: Result[PeerDigest, PlatformError] = Failure(
@@ -90,7 +94,9 @@
             clock=lambda: self.now,
             generator=random.Random(name),
             before_exchange=lambda: table.update_own(
-                phase=table.own.phase, load=0.0, revision=localconfiguration.revision
+                phase=table.own.phase,
+                load=0.0,
+                revision=localconfiguration.revision,
             ),
         )
         address = table.own.address
--- a/test/tasks/test_poisondetector.py
+++ b/test/tasks/test_poisondetector.py
@@ -10,13 +10,16 @@
 
 from chervilrock.decisions.serving.suspects import CrashReport, ServerCrash
 from chervilrock.decisions.serving.view import NodeEntry
-from chervilrock.tasks.serving.messages import CrashReportAnswered, ServerChecked
-from chervilrock.tasks.serving.state import RetryBounds, ServingState
+from chervilrock.tasks.serving.messages import (
+    CrashReportAnswered,
+    ServerChecked,
+)
 from chervilrock.tasks.serving.poisondetector import (
     BrokenSend,
     FOLLOWER_SETTLE_S,
     PoisonDetector,
 )
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 CONTENT = "brokers/0123456789abcdef"
 NOW = 100.0
@@ -90,13 +93,19 @@
     return run
 
 
-def break_send(poisondetector: PoisonDetector, server: str, now: float = NOW) -> None:
-    poisondetector.note_broken(BrokenSend(CONTENT, server, "x:1", 0.0, 0.1), now)
+def break_send(
+    poisondetector: PoisonDetector, server: str, now: float = NOW
+) -> None:
+    poisondetector.record_broken(
+        BrokenSend(CONTENT, server, "x:1", 0.0, 0.1), now
+    )
 
 
-def crash_server(poisondetector: PoisonDetector, server: str, now: float = NOW) -> None:
+def crash_server(
+    poisondetector: PoisonDetector, server: str, now: float = NOW
+) -> None:
     break_send(poisondetector, server, now)
-    poisondetector.note_checked(ServerChecked(server, False), now)
+    poisondetector.record_checked(ServerChecked(server, False), now)
 
 
 def test_a_broken_send_to_a_live_server_is_no_crash(
@@ -105,7 +114,7 @@
     for _ in range(2):
         break_send(poisondetector, "s1")
     assert_that(calls.checked, Equals(["s1"]))
-    poisondetector.note_checked(ServerChecked("s1", True), NOW)
+    poisondetector.record_checked(ServerChecked("s1", True), NOW)
     act(NOW)
     assert_that(poisondetector.count_crashes(CONTENT), Equals(0))
     assert_that(calls.reports, HasLength(0))
@@ -114,11 +123,13 @@
 def test_a_send_to_a_server_that_had_crashed_before_does_not_count(
     poisondetector: PoisonDetector,
 ) -> None:
-    poisondetector.note_broken(BrokenSend("a/b", "s1", "x:1", 0.0, 0.1), NOW)
-    poisondetector.note_checked(ServerChecked("s1", False), NOW)
+    poisondetector.record_broken(BrokenSend("a/b", "s1", "x:1", 0.0, 0.1), NOW)
+    poisondetector.record_checked(ServerChecked("s1", False), NOW)
     break_send(poisondetector, "s1", NOW + 0.05)
     assert_that(poisondetector.count_crashes(CONTENT), Equals(1))
-    poisondetector.note_broken(BrokenSend("a/c", "s1", "x:1", 0.0, 0.1), NOW + 0.5)
+    poisondetector.record_broken(
+        BrokenSend("a/c", "s1", "x:1", 0.0, 0.1), NOW + 0.5
+    )
     assert_that(poisondetector.count_crashes("a/c"), Equals(0))
 
 
@@ -130,7 +141,7 @@
     act(NOW + 0.05)
     ((node, report),) = calls.reports
     assert_that(node, Equals("leader"))
-    poisondetector.note_answered(
+    poisondetector.record_answered(
         CrashReportAnswered(LEADER.incarnation, report, True), NOW + 0.1
     )
     act(NOW + 0.5)
@@ -142,7 +153,7 @@
 ) -> None:
     crash_server(poisondetector, "s1")
     act(NOW)
-    poisondetector.note_answered(
+    poisondetector.record_answered(
         CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], True), NOW
     )
     act(NOW + 1.0, leader=OTHER)
@@ -156,7 +167,7 @@
 ) -> None:
     crash_server(poisondetector, "s1")
     act(NOW)
-    poisondetector.note_answered(
+    poisondetector.record_answered(
         CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], False), NOW
     )
     receivers = [node for node, _ in calls.reports[1:]]
@@ -166,14 +177,17 @@
 
 
 def test_nodes_withhold_a_poison_request_without_a_leader(
-    poisondetector: PoisonDetector, calls: RecordedCalls, state: ServingState, act: Act
+    poisondetector: PoisonDetector,
+    calls: RecordedCalls,
+    state: ServingState,
+    act: Act,
 ) -> None:
     crash_server(poisondetector, "s1")
     crash_server(poisondetector, "s2")
     act(NOW, leader=None)
     assert_that(calls.reports, HasLength(2))
     crash = ServerCrash("s3", "other", 0.0, 0.1)
-    poisondetector.note_report(CrashReport(((CONTENT, crash),)), NOW + 0.1)
+    poisondetector.record_report(CrashReport(((CONTENT, crash),)), NOW + 0.1)
     later = NOW + 0.1 + 2 * FOLLOWER_SETTLE_S
     assert_that(act(later, leader=None), Is(True))
     assert_that(state.suspects.count_withheld(), Equals(1))
--- a/test/tasks/test_serving_peers.py
+++ b/test/tasks/test_serving_peers.py
@@ -6,14 +6,17 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from chervilrock.decisions.serving.leadership import find_interval, find_min_interval
+from chervilrock.decisions.serving.leadership import (
+    find_interval,
+    find_min_interval,
+)
 from chervilrock.decisions.serving.view import (
     Acknowledgement,
     Announcement,
     NO_VIEW,
     NodeEntry,
 )
-from chervilrock.tasks.serving.peers import Update, Peers
+from chervilrock.tasks.serving.peers import Peers, Update
 
 NODES = 40
 BUSY = 8
@@ -89,7 +92,9 @@
                 nodes=(),
                 nodes_version=(1, 0),
                 interval_s=interval_s,
-                busy_pause_s=find_min_interval(self._peers.count_busy(frozenset())),
+                busy_pause_s=find_min_interval(
+                    self._peers.count_busy(frozenset())
+                ),
                 idle_pause_s=find_min_interval(NODES),
             )
             self._peers.announce(update, self._now)
--- a/test/tasks/test_suspects_at_size.py
+++ b/test/tasks/test_suspects_at_size.py
@@ -64,7 +64,9 @@
 
     request = run_virtually(play())
     assert_that(request.sends, HasLength(MAX_CRASHES))
-    assert_that(request.withheld_attempts, GreaterThan(ATTEMPTS - MAX_CRASHES - 1))
+    assert_that(
+        request.withheld_attempts, GreaterThan(ATTEMPTS - MAX_CRASHES - 1)
+    )
 
 
 @pytest.mark.parametrize("nodes", NODE_COUNTS)
@@ -147,7 +149,9 @@
         partitioned = [one for one in list_nodes(site, 0) if one != leader][:2]
         site.partitioned.update(partitioned)
         await asyncio.sleep(1.0)
-        connected = [node for node in site.running_nodes if node not in partitioned]
+        connected = [
+            node for node in site.running_nodes if node not in partitioned
+        ]
         for node in connected[:MAX_CRASHES]:
             await request.send(node)
         await asyncio.sleep(1.0)
