--- a/chervilrock/decisions/serving/adoption.py
+++ b/chervilrock/decisions/serving/adoption.py
@@ -20,7 +20,7 @@
         """Create an adoption without groups.
 
         Args:
-          board: registry that receives the groups.
+          registry: registry that receives the groups.
           verifier: verifies that open groups are still complete.
         """
         self._registry = registry
@@ -88,7 +88,9 @@
         self._registry.record_change(GroupStep.FOUND, group)
         for server in servers:
             if server.membership is not None:
-                self._registry.record_membership(server.server, server.membership)
+                self._registry.record_membership(
+                    server.server, server.membership
+                )
         group.joined = set(group.members)
         shape = engine.models.get(name.model)
         if shape is not None:
--- a/chervilrock/decisions/serving/attempts.py
+++ b/chervilrock/decisions/serving/attempts.py
@@ -96,7 +96,7 @@
       end: outcome of the send.
       status: status of the answer, 0 when there was none.
       progress: the sends so far, this one included.
-      may_repeat: whether the request may run more than once.
+      may_retry: whether the request may run more than once.
       max_attempts: servers that it may be sent to.
     """
     if end is SendOutcome.COMPLETE:
--- a/chervilrock/decisions/serving/forming.py
+++ b/chervilrock/decisions/serving/forming.py
@@ -31,7 +31,7 @@
         """Create the formation of groups in a term.
 
         Args:
-          board: registry that receives the groups.
+          registry: registry that receives the groups.
           planner: estimates the duration of loads, and limits their number.
           term: the term, from which the epochs are derived.
         """
--- a/chervilrock/decisions/serving/hostcounts.py
+++ b/chervilrock/decisions/serving/hostcounts.py
@@ -83,7 +83,7 @@
     """Return the host counts of a service by model.
 
     Args:
-      board: groups and hosts.
+      registry: groups and hosts.
       service: name of the service.
       engine: engine profile with the models of the service.
       needs: number of groups that each model needs.
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -87,7 +87,9 @@
         self._reported_at: dict[str, float] = {}
         self._slow_seen_at = float("-inf")
 
-    def record_incarnation(self, server: str, started_ms: int) -> "Life":
+    def record_incarnation(
+        self, server: str, started_ms: int
+    ) -> "IncarnationOrder":
         """Record the incarnation in a message and compare it to the known one.
 
         A server that restarts under its identifier has no state, so its record
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -96,7 +96,7 @@
         """Create a planner.
 
         Args:
-          board: groups and hosts, kept up to date by other components.
+          registry: groups and hosts, kept up to date by other components.
         """
         self._registry = registry
         self._hosts = registry.hosts
--- a/chervilrock/decisions/serving/relays.py
+++ b/chervilrock/decisions/serving/relays.py
@@ -90,7 +90,9 @@
         if incarnation in self._relay_by_data_centre.values():
             self._failed_at[incarnation] = now
 
-    def record_relay_answer(self, node: NodeEntry, answer: Summary, now: float) -> None:
+    def record_relay_answer(
+        self, node: NodeEntry, answer: Summary, now: float
+    ) -> None:
         """Record the answer of a relay for its data centre."""
         self._answers[node.data_centre] = (answer, now)
 
--- a/chervilrock/decisions/serving/stalls.py
+++ b/chervilrock/decisions/serving/stalls.py
@@ -52,7 +52,7 @@
         """Remove a stream that ended or was moved away."""
         self._sent_at.pop(request_id, None)
 
-    def is_stalled(self, limits: "SilenceLimits", now: float) -> bool:
+    def is_stalled(self, limits: "StallLimits", now: float) -> bool:
         """Return whether no stream had an event for longer than the limits."""
         if not self._sent_at:
             return False
--- a/chervilrock/decisions/serving/storehealth.py
+++ b/chervilrock/decisions/serving/storehealth.py
@@ -78,7 +78,9 @@
             self._timed_out_topics.clear()
         return has_recovered
 
-    def record_failure(self, topic: str, now: float, *, is_timeout: bool) -> None:
+    def record_failure(
+        self, topic: str, now: float, *, is_timeout: bool
+    ) -> None:
         """Record that a call got no usable answer.
 
         Args:
--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -114,7 +114,9 @@
                 return self._give_up(self._tracker.give_up())
             mode = choose_mode(decision)
             if self._tracker.sends:
-                self._observer.record_retry(mode, endpoint.group, self._position)
+                self._observer.record_retry(
+                    mode, endpoint.group, self._position
+                )
             send = self._tracker.begin(endpoint.group, mode)
             end = await self._send(endpoint, send)
             if self._left:
--- a/chervilrock/edges/errors.py
+++ b/chervilrock/edges/errors.py
@@ -160,7 +160,7 @@
 
     Args:
       error: the error.
-      may_repeat: whether the request may run a second time.
+      may_retry: whether the request may run a second time.
     """
     headers = [
         ("Content-Type", "application/json; charset=UTF-8"),
--- a/chervilrock/edges/serving/places.py
+++ b/chervilrock/edges/serving/places.py
@@ -65,7 +65,7 @@
 
         Args:
           state: what the node knows.
-          room: where requests of the node wait.
+          waitqueue: where requests of the node wait.
           request: the request.
           connection: tells whether its caller has any event.
           check: whether it is withheld.
--- a/chervilrock/edges/serving/receiver.py
+++ b/chervilrock/edges/serving/receiver.py
@@ -44,7 +44,7 @@
           last_event: last event that the caller has, empty for none.
           deliver: takes whole events for the caller.
           progress: is called when anything comes.
-          note_facts: is called with what the head tells.
+          record_facts: is called with what the head tells.
         """
         self._request_id = request_id
         self._deliver = deliver
--- a/chervilrock/edges/serving/suspectcheck.py
+++ b/chervilrock/edges/serving/suspectcheck.py
@@ -33,7 +33,7 @@
 
         Args:
           state: what the node knows.
-          suspicion: what it does about requests that crash servers.
+          poisondetector: what it does about requests that crash servers.
           request: the attempt.
         """
         self._state = state
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -75,7 +75,7 @@
 
         Args:
           error: the error.
-          may_repeat: whether the request may run a second time.
+          may_retry: whether the request may run a second time.
         """
 
     @abc.abstractmethod
--- a/chervilrock/platform/engines.py
+++ b/chervilrock/platform/engines.py
@@ -119,5 +119,5 @@
         running=report.running,
         waiting=report.waiting,
         pace=report.pace,
-        born=report.born,
+        started_ms=report.born,
     )
--- a/chervilrock/platform/servers.py
+++ b/chervilrock/platform/servers.py
@@ -76,7 +76,7 @@
             staged=tuple(decoded.staged),
             membership=decode_membership(decoded.group),
             writes=decoded.sequence,
-            born=decoded.born,
+            started_ms=decoded.born,
         )
     )
 
--- a/chervilrock/tasks/pace.py
+++ b/chervilrock/tasks/pace.py
@@ -44,7 +44,9 @@
             wait_s = max(SHORTEST_S, over_s / SHARE)
         return self._hurries or now >= self._decided_at + wait_s
 
-    def record_decided(self, now: float, *, cost_s: float, awaits: bool) -> None:
+    def record_decided(
+        self, now: float, *, cost_s: float, awaits: bool
+    ) -> None:
         """Note a decision.
 
         Args:
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -28,11 +28,11 @@
     import random
 
 __all__ = [
-    "ConfigurationShelf",
+    "LocalConfiguration",
     "HttpPeerChannel",
     "PeerChannel",
     "PeerTask",
-    "ShareBook",
+    "ShareTracker",
     "decode_digest",
 ]
 
@@ -109,7 +109,7 @@
         Args:
           table: the nodes; this task alone changes it
           channel: carries digests
-          shelf: holds the configuration in force
+          localconfiguration: holds the configuration in force
           shares: counts the requests of bounded workspaces
           seeds: addresses of nodes from the settings
           clock: the clock of this process
--- a/chervilrock/tasks/serving/crashreports.py
+++ b/chervilrock/tasks/serving/crashreports.py
@@ -94,7 +94,9 @@
         self._unsent.clear()
         self._unsent_cleared.clear()
 
-    def record_answered(self, answered: CrashReportAnswered, now: float) -> None:
+    def record_answered(
+        self, answered: CrashReportAnswered, now: float
+    ) -> None:
         """Handle the answer to a report."""
         if answered.incarnation != self._leader:
             return
--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -37,7 +37,7 @@
         Args:
           store: the store.
           topic: topic to follow.
-          choose_pace: returns the polling schedule; called for each read.
+          choose_schedule: returns the polling schedule; called for each read.
           outbox: receives `RecordsRead` and `ReadFailed`.
         """
         self._store = store
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -97,7 +97,7 @@
           own: this node.
           ports: clients and decoders for everything outside of the process.
           state: state that is shared with the request handlers.
-          room: queue of the requests that wait for a slot.
+          waitqueue: queue of the requests that wait for a slot.
         """
         now = read_clock()
         self._own = own
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -66,7 +66,7 @@
         answer = self.acknowledgement
         return answer is not None and bool(answer.loads)
 
-    def is_due(self, update: "News", *, has_update: bool, now: float) -> bool:
+    def is_due(self, update: "Update", *, has_update: bool, now: float) -> bool:
         """Return whether an announcement to the node is due.
 
         Args:
--- a/chervilrock/tasks/serving/poisondetector.py
+++ b/chervilrock/tasks/serving/poisondetector.py
@@ -233,7 +233,9 @@
         self._reports.drop(content)
         self._evaluate_at = float("-inf")
 
-    def record_answered(self, answered: CrashReportAnswered, now: float) -> None:
+    def record_answered(
+        self, answered: CrashReportAnswered, now: float
+    ) -> None:
         """Handle the answer to a report of this node."""
         self._reports.record_answered(answered, now)
 
--- a/test/decisions/control/test_safety.py
+++ b/test/decisions/control/test_safety.py
@@ -73,7 +73,7 @@
 
 def skip_quiet_wait(patch):
     """Trust engines that check no number before old orders have ended."""
-    patch.setattr(release, "find_quiet", lambda context, host: 0.0)
+    patch.setattr(release, "find_quiet_time", lambda context, host: 0.0)
 
 
 def skip_lease_check(patch):
@@ -90,7 +90,7 @@
             self._sent[record_id] += 3.0
         noted(self, record_id, epoch)
 
-    patch.setattr(LeaseHolder, "note_accepted", record_accepted)
+    patch.setattr(LeaseHolder, "record_accepted", record_accepted)
 
 
 def serve_one_short(patch):
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "status", "progress", "may_repeat", "following"),
+    ("end", "status", "progress", "may_retry", "following"),
     [
         (SendOutcome.COMPLETE, 200, Progress(1, True), False, NextStep.FINISH),
         (SendOutcome.NOT_RUN, 503, Progress(1, False), False, NextStep.RETRY),
--- a/test/decisions/serving/test_relays.py
+++ b/test/decisions/serving/test_relays.py
@@ -104,7 +104,9 @@
 def test_answers_of_a_data_centre_are_dropped_with_its_nodes() -> None:
     table = RelayTable(data_centre="a")
     table.choose(make_data_centre("b"), 0.0)
-    table.record_relay_answer(make_node("b2", "b"), Summary(nodes=("i-b0",)), 0.0)
+    table.record_relay_answer(
+        make_node("b2", "b"), Summary(nodes=("i-b0",)), 0.0
+    )
     table.choose([], 0.1)
     assert_that(table.list_answers(0.1), HasLength(0))
 
--- a/test/decisions/serving/test_waiting.py
+++ b/test/decisions/serving/test_waiting.py
@@ -43,7 +43,7 @@
     assert_that(begun.wait_s, GreaterThan(1.0))
 
 
-@pytest.mark.parametrize("standing", Timeliness)
+@pytest.mark.parametrize("timeliness", Timeliness)
 def test_nothing_waits_for_a_model_that_no_group_will_serve(timeliness) -> None:
     nothing = Availability(has_endpoints=False, is_forming=False)
     request = NEW._replace(timeliness=timeliness)
@@ -104,7 +104,7 @@
     assert_that(decide(begun, later), Equals(decide(begun, FULL)))
 
 
-@pytest.mark.parametrize("standing", Timeliness)
+@pytest.mark.parametrize("timeliness", Timeliness)
 def test_no_request_waits_for_servers_that_this_node_may_not_use(
     timeliness,
 ) -> None:
--- a/test/edges/test_mutations.py
+++ b/test/edges/test_mutations.py
@@ -37,7 +37,7 @@
     loop: asyncio.Runner, site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(relay, "use_own_connection", reuse)
-    monkeypatch.setattr(Transfer, "_note_send", send_always)
+    monkeypatch.setattr(Transfer, "_record_send", send_always)
     loop.run(call_one_server(site))
     assert site.count_calls() > CALLS
 
--- a/test/platform/test_adapter.py
+++ b/test/platform/test_adapter.py
@@ -177,7 +177,7 @@
     assert_that(server.domain, Equals("3"))
     wanted = Membership("g", 7, 1, MemberState.OPEN)
     assert_that(server.membership == wanted, Is(True))
-    assert_that(server.born, Equals(1_700_000_000_123))
+    assert_that(server.started_ms, Equals(1_700_000_000_123))
 
 
 @pytest.mark.parametrize(
