--- a/test/decisions/serving/test_reportedloads.py
+++ b/test/decisions/serving/test_reportedloads.py
@@ -36,6 +36,6 @@
     reported,
 ) -> None:
     assert_that(reported.find_included(TERM + 1, 1), Equals(NO_LOADS))
-    reported.note(TERM + 1, {"s": 5})
+    reported.record(TERM + 1, {"s": 5})
     assert_that(reported.find_included(TERM + 1, 1), Equals({"s": 5}))
     assert_that(reported.find_included(TERM + 1, 2), Equals(NO_LOADS))
