--- a/bench/entry_model.py
+++ b/bench/entry_model.py
@@ -305,10 +305,12 @@
         node = request.arrival.node
         endpoint = request.attempts[number]
         now = self.now + self._latency(node, endpoint)
-        waited = now - request.sent_at[number]
-        self.policies[node].on_first_token(request.view, endpoint, now, waited)
+        waited_s = now - request.sent_at[number]
+        self.policies[node].on_first_token(
+            request.view, endpoint, now, waited_s
+        )
         self.admissions[node].observe_first_token(
-            request.view.request_id, endpoint.group, waited, now
+            request.view.request_id, endpoint.group, waited_s, now
         )
         if request.first_s is None:
             request.first_s = now - request.arrival.time
@@ -339,9 +341,9 @@
         request.hedge = 0
         request.first_s = None
         admission = self.admissions[request.arrival.node]
-        may_repeat = not ran or request.view.idempotent
+        may_retry = not ran or request.view.idempotent
         if (
-            may_repeat
+            may_retry
             and len(request.tried) < MAX_ATTEMPTS
             and admission.allow_retry(request.view, self.now)
         ):
--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -3,7 +3,7 @@
 from chervilrock.decisions.requests import attempts
 from chervilrock.decisions.requests.attempts import Send, SendMode, SendReport
 from chervilrock.decisions.requests.outcomes import AttemptEnd
-from chervilrock.decisions.requests.transcript import Kept, Transcript
+from chervilrock.decisions.requests.transcript import PartialText, Transcript
 from chervilrock.decisions.routing.base import Endpoint, RequestView
 from chervilrock.edges import enginecalls, progress
 from chervilrock.edges.bodies import CompletionCall
@@ -82,7 +82,7 @@
         """See base class."""
         if self._endpoint is not None and not transfer.held_back:
             tokens = self._position - self._after
-            self._observer.note_progress(self._endpoint, tokens, now)
+            self._observer.record_progress(self._endpoint, tokens, now)
         silence = self._progress.measure_silence(
             self._position, transfer.paused, now
         )
@@ -114,7 +114,9 @@
                 return self._give_up(self._tracker.give_up())
             mode = choose_mode(decision)
             if self._tracker.sends:
-                self._observer.note_retry(mode, endpoint.group, self._position)
+                self._observer.record_retry(
+                    mode, endpoint.group, self._position
+                )
             send = self._tracker.begin(endpoint.group, mode)
             end = await self._send(endpoint, send)
             if self._left:
@@ -146,7 +148,7 @@
             chosen = policy.choose(
                 view, endpoints, now, exclude=decision.exclude
             )
-        if chosen is None and decision.again:
+        if chosen is None and decision.allow_excluded:
             chosen = policy.choose(view, endpoints, now)
         return chosen
 
@@ -174,11 +176,11 @@
             receiver=receiver,
         )
         self._receiver = receiver
-        self._observer.note_sent(endpoint, now)
+        self._observer.record_sent(endpoint, now)
         end = receiver.judge(await self._transmit(transfer))
         self._refusal = receiver.refusal
         tokens = 0 if transfer.held_back else self._position - self._after
-        self._observer.note_end(endpoint, end, self._refusal, tokens)
+        self._observer.record_end(endpoint, end, self._refusal, tokens)
         return end
 
     def _make_receiver(self, endpoint: Endpoint, send: Send) -> EngineReceiver:
@@ -200,7 +202,7 @@
         kept = self._read_kept()
         return None if kept is None else kept.text
 
-    def _read_kept(self) -> Kept | None:
+    def _read_kept(self) -> PartialText | None:
         return None if self._transcript is None else self._transcript.read()
 
     def _stop(self) -> None:
@@ -214,7 +216,7 @@
             self._sink.start(STREAM_HEAD)
         if not self._observer.answered:
             assert self._endpoint is not None
-            self._observer.note_first_token(self._endpoint)
+            self._observer.record_first_token(self._endpoint)
         receiver = self._receiver
         assert isinstance(receiver, StreamReceiver)
         self._position = receiver.positions.position
@@ -229,7 +231,7 @@
         if end is AttemptEnd.COMPLETE:
             self._finish_answer()
             return attempts.Deliver()
-        self._observer.note_broken(endpoint, end, self._position)
+        self._observer.record_broken(endpoint, end, self._position)
         kept = self._read_kept() if self._position > 0 else None
         if kept is not None and self._finish_text(kept):
             return attempts.Deliver()
@@ -237,7 +239,7 @@
             number=send.number,
             end=end,
             position=self._position,
-            target_holds=self._path.holds(endpoint),
+            target_has_attempt=self._path.holds(endpoint),
             continuable=kept is not None,
         )
         decision = self._tracker.finish(report, self._context.now())
@@ -247,7 +249,7 @@
         self._cancel(endpoint, send, end)
         if isinstance(decision, _NEW_RUNS):
             may_retry = self._take_retry(end)
-            moves = self._position > 0 or not report.target_holds
+            moves = self._position > 0 or not report.target_has_attempt
             if not may_retry and not moves:
                 return self._tracker.give_up()
         return decision
@@ -269,7 +271,7 @@
         else:
             self._sink.finish()
 
-    def _finish_text(self, kept: Kept) -> bool:
+    def _finish_text(self, kept: PartialText) -> bool:
         """Ends a broken stream of which only the last event is missing."""
         if not kept.finished or self._call.wants_usage:
             return False
--- a/chervilrock/edges/observer.py
+++ b/chervilrock/edges/observer.py
@@ -46,7 +46,7 @@
         self._told_tokens = 0
         self.answered = False
 
-    def note_retry(self, mode: SendMode, group: str, position: int) -> None:
+    def record_retry(self, mode: SendMode, group: str, position: int) -> None:
         """Tells of a send beyond the first one, before it is sent.
 
         Args:
@@ -64,30 +64,30 @@
                 position=position,
             )
 
-    def note_sent(self, endpoint: Endpoint, now: float) -> None:
+    def record_sent(self, endpoint: Endpoint, now: float) -> None:
         """Tells of a send to a group."""
         self._sent_at = now
         self._told_tokens = 0
         self.answered = False
         self._context.policy.on_sent(self._view, endpoint, now)
 
-    def note_first_token(self, endpoint: Endpoint) -> None:
+    def record_first_token(self, endpoint: Endpoint) -> None:
         """Tells of the first event of a send."""
         self.answered = True
         now = self._context.now()
-        waited = now - self._sent_at
-        self._context.policy.on_first_token(self._view, endpoint, now, waited)
+        waited_s = now - self._sent_at
+        self._context.policy.on_first_token(self._view, endpoint, now, waited_s)
         if self._first_seen:
             return
         self._first_seen = True
         self._context.admission.observe_first_token(
-            self._view.request_id, endpoint.group, waited, now
+            self._view.request_id, endpoint.group, waited_s, now
         )
         self._context.metrics.observe_first_token(
             model=self._view.model, seconds=now - self._arrived
         )
 
-    def note_progress(
+    def record_progress(
         self, endpoint: Endpoint, tokens: int, now: float
     ) -> None:
         """Tells how many tokens of a send have come, if these are enough."""
@@ -96,7 +96,7 @@
         self._told_tokens = tokens
         self._context.policy.on_progress(self._view, endpoint, now, tokens)
 
-    def note_end(
+    def record_end(
         self, endpoint: Endpoint, end: AttemptEnd, refusal: Refusal, tokens: int
     ) -> None:
         """Tells of the end of a send.
@@ -111,9 +111,9 @@
         ok = end is AttemptEnd.COMPLETE
         self._context.policy.on_done(self._view, endpoint, now, ok, tokens)
         if refusal.status == _STATUS_TOO_MANY_REQUESTS:
-            self._context.admission.observe_refusal(endpoint.group, now)
+            self._context.admission.observe_overload(endpoint.group, now)
 
-    def note_broken(
+    def record_broken(
         self, endpoint: Endpoint, end: AttemptEnd, position: int
     ) -> None:
         """Tells of a stream that broke after some events."""
--- a/chervilrock/edges/recordings.py
+++ b/chervilrock/edges/recordings.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from chervilrock.decisions.requests.memory import (
+from chervilrock.decisions.requests.runregistry import (
     MAX_ANSWER_BYTES,
     RecordedAnswer,
 )
@@ -106,11 +106,11 @@
             follower.finish()
         self._end()
 
-    def fail(self, error: CallerError, *, may_repeat: bool) -> None:
+    def fail(self, error: CallerError, *, may_retry: bool) -> None:
         """See base class."""
         self.error = error
         for follower in self._followers:
-            follower.fail(error, may_repeat=may_repeat)
+            follower.fail(error, may_retry=may_retry)
         self._end()
 
     def cut(self) -> None:
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -6,13 +6,13 @@
 from chervilrock.clients.curlpool import CurlPool
 from chervilrock.decisions.serving.attempts import (
     decide_next,
-    is_server_fault,
-    Next,
+    is_server_error,
+    NextStep,
     Progress,
-    SendEnd,
+    SendOutcome,
 )
-from chervilrock.decisions.serving.lateness import Standing
-from chervilrock.decisions.serving.messages import AnswerFacts, Onward
+from chervilrock.decisions.serving.lateness import Timeliness
+from chervilrock.decisions.serving.messages import AnswerFacts, ForwardedFields
 from chervilrock.decisions.serving.routes import (
     Admission,
     choose_service,
@@ -39,9 +39,9 @@
 from chervilrock.platform import headers as names
 from chervilrock.serving_metrics import ServingMetrics
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.room import WaitingRoom
+from chervilrock.tasks.serving.poisondetector import PoisonDetector
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import Suspicion
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 CONNECT_TIMEOUT_S = 0.4
 """Longest time to connect to a server; it takes some milliseconds, and a
@@ -66,10 +66,10 @@
     """What all requests of a node share."""
 
     state: ServingState
-    room: WaitingRoom
+    waitqueue: WaitQueue
     pool: CurlPool
     metrics: ServingMetrics
-    suspicion: Suspicion
+    poisondetector: PoisonDetector
 
 
 class Exchange:
@@ -96,18 +96,18 @@
         self._last_event = request.facts.last_event
         self._progress = Progress(sends=0, may_have_run=False)
         self._transfer: Transfer | None = None
-        self._interrupted: asyncio.Future[SendEnd] | None = None
+        self._interrupted: asyncio.Future[SendOutcome] | None = None
         self._has_left = False
         self._sent_at = request.arrived
         self._first_event: float | None = None
         self._check = SuspectCheck(
             state=context.state,
-            suspicion=context.suspicion,
+            poisondetector=context.poisondetector,
             request=request,
         )
         self._search = PlaceSearch(
             state=context.state,
-            room=context.room,
+            waitqueue=context.waitqueue,
             request=request,
             connection=connection,
             check=self._check,
@@ -150,7 +150,7 @@
         self._has_left = True
         self._search.is_over = True
         self._connection.close()
-        self._interrupt(SendEnd.LOST)
+        self._interrupt(SendOutcome.LOST)
 
     def move_away(self, now: float) -> bool:
         """Take the stream from a group that has stopped, if it may go on.
@@ -169,10 +169,10 @@
             return False
         if not self._claim.reserve():
             return False
-        self._interrupt(SendEnd.SILENT)
+        self._interrupt(SendOutcome.STALLED)
         return True
 
-    def _interrupt(self, end: SendEnd) -> None:
+    def _interrupt(self, end: SendOutcome) -> None:
         """End the send that is under way."""
         interrupted = self._interrupted
         if interrupted is not None and not interrupted.done():
@@ -197,7 +197,9 @@
                 return
             await self._check.wait_for_verdict(self._expires)
 
-    def _goes_on(self, admission: Admission, end: SendEnd, status: int) -> bool:
+    def _goes_on(
+        self, admission: Admission, end: SendOutcome, status: int
+    ) -> bool:
         """Tell whether to send again; else the caller has its answer."""
         now = read_clock()
         route = admission.route
@@ -211,31 +213,31 @@
             end,
             status=status,
             progress=self._progress,
-            may_repeat=route.may_repeat,
+            may_retry=route.may_retry,
             max_attempts=route.max_attempts,
         )
-        if following is Next.FINISH:
-            if end is SendEnd.COMPLETE:
-                self._check.note_clean()
+        if following is NextStep.FINISH:
+            if end is SendOutcome.COMPLETE:
+                self._check.record_completion()
             self._finish(status, end)
             return False
-        if following is Next.REPEAT:
+        if following is NextStep.RETRY:
             # Without a byte sent, the next send is the first one.
             if not self._progress.sends or self._claim.reserve():
-                self._note_repeat(end)
+                self._record_repeat(end)
                 return True
             self._context.metrics.count_refused_repeat(self._service)
             exchangelog.log_refused_repeat(self._describe_repeat(end))
         self._give_up(end)
         return False
 
-    def _note_repeat(self, end: SendEnd) -> None:
+    def _record_repeat(self, end: SendOutcome) -> None:
         exchangelog.log_repeat(self._describe_repeat(end))
         if self._progress.sends:
             self._context.metrics.count_repeat(end.value)
         self._answer = None
 
-    def _describe_repeat(self, end: SendEnd) -> exchangelog.Repeat:
+    def _describe_repeat(self, end: SendOutcome) -> exchangelog.Repeat:
         return exchangelog.Repeat(
             request_id=self.request_id,
             service=self._service,
@@ -245,9 +247,9 @@
             budget=self._claim.describe(),
         )
 
-    def _give_up(self, end: SendEnd) -> None:
+    def _give_up(self, end: SendOutcome) -> None:
         """Tell the caller that there is no answer."""
-        if self._answer is not None and end is SendEnd.FAILED:
+        if self._answer is not None and end is SendOutcome.FAILED:
             self._finish(self._answer_status, end)
         elif self._progress.may_have_run:
             self._end(BAD_GATEWAY, f"the last send: {end.value}")
@@ -264,7 +266,7 @@
         """
         self._context.metrics.count_withheld()
         exchangelog.log_withheld(self.request_id, suspect)
-        reason = f"{len(suspect.ends)} servers ended under it"
+        reason = f"{len(suspect.crashes)} servers ended under it"
         if self._progress.may_have_run:
             self._end(BAD_GATEWAY, reason)
         else:
@@ -297,11 +299,11 @@
 
     # Sends.
 
-    async def _send(self, admission: Admission) -> tuple[SendEnd, int]:
+    async def _send(self, admission: Admission) -> tuple[SendOutcome, int]:
         """Send the request to its place; return how that ended."""
         place = self._search.place
         if place is None:
-            return SendEnd.NOT_RUN, 0
+            return SendOutcome.NOT_RUN, 0
         now = read_clock()
         endpoint = place.endpoint
         self._sent_at = now
@@ -311,8 +313,8 @@
             request_id=self.request_id,
             last_event=self._last_event,
             deliver=self._deliver,
-            progress=lambda: self._note_progress(endpoint),
-            note_facts=lambda facts: self._note_facts(endpoint, facts),
+            progress=lambda: self._record_progress(endpoint),
+            record_facts=lambda facts: self._record_facts(endpoint, facts),
         )
         transfer = Transfer(
             request=self._make_request(admission, endpoint, now),
@@ -323,12 +325,12 @@
         self._search.give_back()
         self._claim.end_send(has_left=transfer.sent)
         transfer_end = end if isinstance(end, TransferEnd) else None
-        self._check.note_end(receiver, transfer_end, endpoint, sent=now)
+        self._check.record_end(receiver, transfer_end, endpoint, sent=now)
         return self._judge(transfer, receiver, end, endpoint)
 
     async def _run_transfer(
         self, transfer: Transfer, endpoint: Endpoint, now: float
-    ) -> TransferEnd | SendEnd:
+    ) -> TransferEnd | SendOutcome:
         """Wait for the end of a transfer, an interruption or the time limit.
 
         A transfer that is given up ends by itself, and nothing waits for it.
@@ -340,7 +342,7 @@
         if isinstance(endpoint, GroupEndpoint):
             watch = self._state.watch(endpoint.group)
         if watch is not None:
-            watch.note_sent(self.request_id, now)
+            watch.record_sent(self.request_id, now)
         running = loop.create_task(self._borrow_and_run(transfer))
         _RUNNING.add(running)
         running.add_done_callback(_RUNNING.discard)
@@ -353,13 +355,13 @@
             )
         finally:
             if watch is not None:
-                watch.note_end(self.request_id)
+                watch.record_end(self.request_id)
             self._transfer = None
             interrupted, self._interrupted = self._interrupted, None
         if running.done():
             return running.result()
         transfer.abandon()
-        return interrupted.result() if interrupted.done() else SendEnd.LOST
+        return interrupted.result() if interrupted.done() else SendOutcome.LOST
 
     async def _borrow_and_run(self, transfer: Transfer) -> TransferEnd:
         with self._context.pool.borrow() as client:
@@ -372,14 +374,14 @@
         workspace = admission.workspace
         remaining = self._expires - now
         is_group = isinstance(endpoint, GroupEndpoint)
-        onward = Onward(
+        forwarded = ForwardedFields(
             server=endpoint.server,
             workspace="" if workspace is None else workspace.name,
             remaining_s=remaining,
             last_event=self._last_event,
             urgency=self._find_urgency(admission) if is_group else None,
         )
-        pairs = names.make_onward_headers(request.headers, onward)
+        pairs = names.make_forwarded_headers(request.headers, forwarded)
         if not any(name.lower() == "content-type" for name, _ in pairs):
             # An empty value keeps libcurl from adding one of its own.
             pairs = (*pairs, ("Content-Type", ""))
@@ -399,25 +401,25 @@
         Streams that were cut go first, and of requests of the same priority
         those that can be on time.
         """
-        standing = self._search.judge_standing(read_clock())
-        if standing is Standing.BEGUN:
+        timeliness = self._search.judge_timeliness(read_clock())
+        if timeliness is Timeliness.BEGUN:
             return 0
-        is_late = standing is Standing.LATE
+        is_late = timeliness is Timeliness.LATE
         return min(LEAST_URGENT, 1 + 2 * admission.priority + is_late)
 
-    def _note_progress(self, endpoint: Endpoint) -> None:
+    def _record_progress(self, endpoint: Endpoint) -> None:
         if isinstance(endpoint, GroupEndpoint):
-            self._state.watch(endpoint.group).note_progress(read_clock())
+            self._state.watch(endpoint.group).record_progress(read_clock())
 
-    def _note_facts(self, endpoint: Endpoint, facts: AnswerFacts) -> None:
+    def _record_facts(self, endpoint: Endpoint, facts: AnswerFacts) -> None:
         if facts.limit is not None:
-            self._state.note_limit(endpoint.server, facts.limit, read_clock())
+            self._state.record_limit(endpoint.server, facts.limit, read_clock())
 
     def _deliver(self, head: Head, events: bytes) -> None:
         """Pass whole events on to the caller."""
         if self._first_event is None:
             self._first_event = read_clock()
-            self._state.first_events.note(
+            self._state.first_events.record(
                 self._request.facts.model, self._first_event - self._sent_at
             )
         if self._connection.has_begun:
@@ -430,9 +432,9 @@
         self,
         transfer: Transfer,
         receiver: AnswerReceiver,
-        end: TransferEnd | SendEnd,
+        end: TransferEnd | SendOutcome,
         endpoint: Endpoint,
-    ) -> tuple[SendEnd, int]:
+    ) -> tuple[SendOutcome, int]:
         """Return how a send ended, and keep what the caller needs of it."""
         facts = receiver.facts
         self._last_event = receiver.splitter.last_event
@@ -440,7 +442,7 @@
             sends = self._progress.sends + 1
             self._progress = self._progress._replace(sends=sends)
         judged = receiver.judge(transfer, end)
-        if transfer.sent and judged is not SendEnd.NOT_RUN:
+        if transfer.sent and judged is not SendOutcome.NOT_RUN:
             self._progress = self._progress._replace(may_have_run=True)
         status = 0 if facts is None else facts.status
         self._doubt_after(judged, status, endpoint)
@@ -448,18 +450,22 @@
         return judged, status
 
     def _doubt_after(
-        self, end: SendEnd, status: int, endpoint: Endpoint
+        self, end: SendOutcome, status: int, endpoint: Endpoint
     ) -> None:
         """Avoid an endpoint for a while that gave no answer, or fails."""
         now = read_clock()
         if isinstance(endpoint, GroupEndpoint):
-            if end is SendEnd.COMPLETE:
-                self._state.note_success(endpoint.group)
-            elif end is SendEnd.FAILED and is_server_fault(status):
-                self._state.note_failure(endpoint.group, now)
-        is_lost = end in (SendEnd.NOT_RUN, SendEnd.LOST, SendEnd.SILENT)
+            if end is SendOutcome.COMPLETE:
+                self._state.record_success(endpoint.group)
+            elif end is SendOutcome.FAILED and is_server_error(status):
+                self._state.record_failure(endpoint.group, now)
+        is_lost = end in (
+            SendOutcome.NOT_RUN,
+            SendOutcome.LOST,
+            SendOutcome.STALLED,
+        )
         if is_lost and not self._has_left and now < self._expires:
-            self._state.doubt(endpoint.name, now)
+            self._state.avoid(endpoint.name, now)
 
     def _keep_answer(
         self, transfer: Transfer, receiver: AnswerReceiver
@@ -475,10 +481,10 @@
 
     # Answers.
 
-    def _finish(self, status: int, end: SendEnd) -> None:
+    def _finish(self, status: int, end: SendOutcome) -> None:
         """Give the caller the answer of the server."""
         if self._connection.has_begun:
-            if end is not SendEnd.COMPLETE or self._answer is not None:
+            if end is not SendOutcome.COMPLETE or self._answer is not None:
                 # The caller has events of a stream that did not go on.
                 self._end(BAD_GATEWAY, f"the last send: {end.value}")
                 return
--- a/chervilrock/edges/serving/exchangelog.py
+++ b/chervilrock/edges/serving/exchangelog.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.serving.placement import Choice
-from chervilrock.decisions.serving.repeats import BudgetState
+from chervilrock.decisions.serving.retrybudget import BudgetState
 from chervilrock.decisions.serving.routes import Admission
 from chervilrock.decisions.serving.suspects import Suspect
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
@@ -11,8 +11,8 @@
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.events import emit, Event
 from chervilrock.serving_metrics import RequestEnd
+from chervilrock.tasks.serving.poisondetector import BrokenSend
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import BrokenSend
 
 _MS_PER_S = 1000
 
--- a/chervilrock/edges/serving/places.py
+++ b/chervilrock/edges/serving/places.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from chervilrock.decisions.serving.lateness import judge_standing, Standing
+from chervilrock.decisions.serving.lateness import judge_timeliness, Timeliness
 from chervilrock.decisions.serving.placement import (
     Bound,
     Choice,
@@ -14,18 +14,18 @@
 from chervilrock.decisions.serving.site import RouteKind
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
 from chervilrock.decisions.serving.waiting import (
-    decide_patience,
+    Availability,
+    decide_wait,
+    DELIVERY_MARGIN_S,
     find_give_up,
-    LINK_S,
-    Prospect,
-    Wait,
+    WaitingRequest,
 )
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.connection import CallerConnection
 from chervilrock.edges.serving.suspectcheck import SuspectCheck
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.room import WaitingRoom
 from chervilrock.tasks.serving.state import ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 Endpoint = GroupEndpoint | ServerEndpoint
 Place = Choice[GroupEndpoint] | Choice[ServerEndpoint]
@@ -56,7 +56,7 @@
         self,
         *,
         state: ServingState,
-        room: WaitingRoom,
+        waitqueue: WaitQueue,
         request: CallerRequest,
         connection: CallerConnection,
         check: SuspectCheck,
@@ -65,13 +65,13 @@
 
         Args:
           state: what the node knows.
-          room: where requests of the node wait.
+          waitqueue: where requests of the node wait.
           request: the request.
           connection: tells whether its caller has any event.
           check: whether it is withheld.
         """
         self._state = state
-        self._room = room
+        self._waitqueue = waitqueue
         self._request = request
         self._connection = connection
         self._check = check
@@ -98,11 +98,11 @@
         self._expires = expires
         self._waited_before_s = self._estimate_wait(admission)
 
-    def judge_standing(self, now: float) -> Standing:
+    def judge_timeliness(self, now: float) -> Timeliness:
         """Return how the request stands."""
         if self._admission is None:
-            return Standing.ON_TIME
-        return judge_standing(
+            return Timeliness.ON_TIME
+        return judge_timeliness(
             has_begun=self._connection.has_begun,
             waited_s=self._waited_before_s + now - self._request.arrived,
             target_s=self._admission.route.target_s,
@@ -118,10 +118,10 @@
         """
         while not self._try_place():
             now = read_clock()
-            standing = self.judge_standing(now)
+            timeliness = self.judge_timeliness(now)
             prospect = self._find_prospect(now)
-            patience = decide_patience(
-                self._describe_wait(admission, standing, now),
+            patience = decide_wait(
+                self._describe_wait(admission, timeliness, now),
                 prospect,
                 self._state.generator.random(),
             )
@@ -131,12 +131,12 @@
             )
             if patience.wait_s <= 0:
                 return refusal
-            await self._wait(admission, standing, now + patience.wait_s)
+            await self._wait(admission, timeliness, now + patience.wait_s)
             if self.is_over or self.place is not None or self._try_place():
                 return None
-            if standing is not Standing.ON_TIME:
+            if timeliness is not Timeliness.ON_TIME:
                 return refusal
-            self._state.shortages.note_missed(
+            self._state.shortages.record_missed(
                 self._request.facts.model, read_clock()
             )
         return None
@@ -149,9 +149,9 @@
     def give_back(self) -> None:
         """Free the place, so that another request may have it."""
         if self.place is not None:
-            self._state.note_ended(self.place.endpoint.server)
+            self._state.record_ended(self.place.endpoint.server)
             self.place = None
-            self._room.notify()
+            self._waitqueue.notify()
 
     def has_other(self, now: float) -> bool:
         """Tell whether another group has room for the request."""
@@ -164,7 +164,7 @@
             GROUP_BOUND,
             now,
         )
-        return choice is not None and not choice.load.is_doubtful
+        return choice is not None and not choice.load.is_deprioritized
 
     def _estimate_wait(self, admission: Admission) -> float:
         """Return how long the caller has waited before it came here."""
@@ -174,12 +174,12 @@
         route = admission.route
         usual = self._state.usual_limits
         waited_s = usual.estimate_wait(route.name, limit_s, route.timeout_s)
-        usual.note(route.name, limit_s)
+        usual.record(route.name, limit_s)
         return waited_s
 
     def _expect_first_event(self, admission: Admission) -> float:
         """Return how long the first event will take after a send."""
-        return self._state.first_events.expect(
+        return self._state.first_events.estimate(
             self._request.facts.model, admission.route.target_s
         )
 
@@ -198,8 +198,8 @@
         if self.place is None:
             return False
         server = self.place.endpoint.server
-        self._state.note_sent(server)
-        self._state.limits.take(server, now)
+        self._state.record_sent(server)
+        self._state.limits.consume(server, now)
         return True
 
     def _choose(self, now: float) -> Place | None:
@@ -215,15 +215,15 @@
         """Return how full a group may be that gets the request."""
         waited_s = now - self._request.arrived if self._is_waiting else 0.0
         return find_group_bound(
-            self.judge_standing(now),
+            self.judge_timeliness(now),
             self._state.count_nodes(),
             waited_s=waited_s,
-            is_short=self._state.shortages.is_short(
+            has_shortage=self._state.shortages.has_shortage(
                 self._request.facts.model, now
             ),
         )
 
-    def _find_prospect(self, now: float) -> Prospect:
+    def _find_prospect(self, now: float) -> Availability:
         """Return what the request can expect that has no place."""
         model = self._request.facts.model
         state = self._state
@@ -231,16 +231,16 @@
         if state.find_engine(self._service) is None:
             endpoints = state.list_servers(self._service)
         waits = [state.limits.find_wait(one.server, now) for one in endpoints]
-        return Prospect(
+        return Availability(
             has_endpoints=bool(endpoints),
             is_forming=state.is_forming(model),
-            short_s=state.shortages.find_duration(model, now),
-            limited_s=min(waits, default=0.0),
+            shortage_s=state.shortages.find_duration(model, now),
+            limit_wait_s=min(waits, default=0.0),
         )
 
     def _describe_wait(
-        self, admission: Admission, standing: Standing, now: float
-    ) -> Wait:
+        self, admission: Admission, timeliness: Timeliness, now: float
+    ) -> WaitingRequest:
         """Return what is known of the request while it has no place."""
         route = admission.route
         waited_s = now - self._request.arrived
@@ -248,17 +248,17 @@
         gives_up_s = self._expires - now
         if route.kind is RouteKind.STREAM:
             gives_up_s = find_give_up(route.target_s, route.longest_pause_s)
-            gives_up_s -= waited_s + first_s + LINK_S
+            gives_up_s -= waited_s + first_s + DELIVERY_MARGIN_S
         waited_in_all_s = waited_s + self._waited_before_s
-        return Wait(
-            standing=standing,
+        return WaitingRequest(
+            timeliness=timeliness,
             limit_s=self._expires - now,
             on_time_s=route.target_s - first_s - waited_in_all_s,
             gives_up_s=gives_up_s,
         )
 
     async def _wait(
-        self, admission: Admission, standing: Standing, until: float
+        self, admission: Admission, timeliness: Timeliness, until: float
     ) -> None:
         """Wait for a place; of those that can be on time the newest goes first.
 
@@ -268,10 +268,10 @@
         self._is_waiting = True
         now = read_clock()
         arrived = self._request.arrived
-        turn = -arrived if standing is Standing.ON_TIME else arrived
-        await self._room.wait(
+        turn = -arrived if timeliness is Timeliness.ON_TIME else arrived
+        await self._waitqueue.wait(
             self._try_place,
-            rank=(admission.priority, int(standing), turn),
+            rank=(admission.priority, int(timeliness), turn),
             until=until,
         )
         self.waited_s += read_clock() - now
--- a/chervilrock/edges/serving/receiver.py
+++ b/chervilrock/edges/serving/receiver.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from chervilrock.decisions.serving.attempts import judge_answer, SendEnd
+from chervilrock.decisions.serving.attempts import classify_answer, SendOutcome
 from chervilrock.decisions.serving.messages import AnswerFacts
 from chervilrock.decisions.serving.streams import EventSplitter
 from chervilrock.edges.heads import Head
@@ -35,7 +35,7 @@
         last_event: str,
         deliver: Callable[[Head, bytes], None],
         progress: Callable[[], None],
-        note_facts: Callable[[AnswerFacts], None] = lambda _facts: None,
+        record_facts: Callable[[AnswerFacts], None] = lambda _facts: None,
     ) -> None:
         """Wait for an answer.
 
@@ -44,12 +44,12 @@
           last_event: last event that the caller has, empty for none.
           deliver: takes whole events for the caller.
           progress: is called when anything comes.
-          note_facts: is called with what the head tells.
+          record_facts: is called with what the head tells.
         """
         self._request_id = request_id
         self._deliver = deliver
         self._progress = progress
-        self._note_facts = note_facts
+        self._record_facts = record_facts
         self.splitter = EventSplitter(last_event=last_event)
         self.facts: AnswerFacts | None = None
         self.body = bytearray()
@@ -66,11 +66,13 @@
         self._head = head
         self._head_at = read_clock()
         self.facts = names.read_answer(head.status, head.headers)
-        judged = judge_answer(
+        judged = classify_answer(
             self.facts, request_id=self._request_id, is_whole=True
         )
-        self.is_relayed = judged is SendEnd.COMPLETE and self.facts.is_stream
-        self._note_facts(self.facts)
+        self.is_relayed = (
+            judged is SendOutcome.COMPLETE and self.facts.is_stream
+        )
+        self._record_facts(self.facts)
         self._progress()
 
     def take_data(self, data: bytes) -> None:
@@ -85,25 +87,27 @@
         if events:
             self._deliver(self._head, events)
 
-    def judge(self, transfer: Transfer, end: TransferEnd | SendEnd) -> SendEnd:
+    def judge(
+        self, transfer: Transfer, end: TransferEnd | SendOutcome
+    ) -> SendOutcome:
         """Return how the send ended.
 
         Args:
           transfer: the transfer of the send.
           end: its end, or why it was given up.
         """
-        if isinstance(end, SendEnd):
+        if isinstance(end, SendOutcome):
             return end
         if not transfer.sent:
-            return SendEnd.NOT_RUN
+            return SendOutcome.NOT_RUN
         if self.facts is None:
-            return SendEnd.LOST
+            return SendOutcome.LOST
         is_whole = not (
             end.error
-            or self.splitter.has_rest
+            or self.splitter.has_partial_event
             or self.splitter.is_faulty
             or self.is_too_long
         )
-        return judge_answer(
+        return classify_answer(
             self.facts, request_id=self._request_id, is_whole=is_whole
         )
--- a/chervilrock/edges/serving/repeatclaim.py
+++ b/chervilrock/edges/serving/repeatclaim.py
@@ -1,6 +1,6 @@
 """What one request takes of the budget of repeats of its service."""
 
-from chervilrock.decisions.serving.repeats import BudgetState
+from chervilrock.decisions.serving.retrybudget import BudgetState
 from chervilrock.tasks.serving.state import ServingState
 
 
@@ -24,7 +24,7 @@
     def admit(self, service: str, now: float) -> None:
         """Note where the request goes, and count it."""
         self._service = service
-        self._state.budget(service).note_request(now)
+        self._state.budget(service).record_request(now)
 
     def reserve(self) -> bool:
         """Reserve a repeat; False when the bound leaves no room for it."""
--- a/chervilrock/edges/serving/suspectcheck.py
+++ b/chervilrock/edges/serving/suspectcheck.py
@@ -5,8 +5,8 @@
 from chervilrock.decisions.serving.contents import identify_content
 from chervilrock.decisions.serving.site import Workspace
 from chervilrock.decisions.serving.suspects import (
-    LEAST_TOLD,
-    MAX_ENDS,
+    MAX_CRASHES,
+    MIN_ANNOUNCED_CRASHES,
     Suspect,
 )
 from chervilrock.decisions.serving.view import GroupEndpoint, ServerEndpoint
@@ -15,8 +15,8 @@
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.receiver import AnswerReceiver
 from chervilrock.tasks.clock import read_clock
+from chervilrock.tasks.serving.poisondetector import BrokenSend, PoisonDetector
 from chervilrock.tasks.serving.state import ServingState
-from chervilrock.tasks.serving.suspicion import BrokenSend, Suspicion
 
 
 class SuspectCheck:
@@ -26,18 +26,18 @@
         self,
         *,
         state: ServingState,
-        suspicion: Suspicion,
+        poisondetector: PoisonDetector,
         request: CallerRequest,
     ) -> None:
         """Check an attempt.
 
         Args:
           state: what the node knows.
-          suspicion: what it does about requests that crash servers.
+          poisondetector: what it does about requests that crash servers.
           request: the attempt.
         """
         self._state = state
-        self._suspicion = suspicion
+        self._poisondetector = poisondetector
         self._request = request
         self._workspace = ""
         self._is_broken = False
@@ -58,12 +58,12 @@
 
         After a server ended, two ends before it are enough to wait.
         """
-        if self._suspicion.is_empty():
+        if self._poisondetector.is_empty():
             return
-        ends = LEAST_TOLD if self._is_broken else MAX_ENDS
-        await self._suspicion.wait_for_verdict(self._content, ends, until)
+        ends = MIN_ANNOUNCED_CRASHES if self._is_broken else MAX_CRASHES
+        await self._poisondetector.wait_for_verdict(self._content, ends, until)
 
-    def note_end(
+    def record_end(
         self,
         receiver: AnswerReceiver,
         end: TransferEnd | None,
@@ -82,24 +82,26 @@
         if end is None or not self._is_broken:
             return
         now = read_clock()
-        served_s = receiver.find_duration(now)
+        since_first_byte_s = receiver.find_duration(now)
         broken = BrokenSend(
             content=self._content,
             server=endpoint.server,
             address=endpoint.address,
-            served_s=served_s or 0.0,
-            sent_s=now - sent,
+            since_first_byte_s=since_first_byte_s or 0.0,
+            since_sent_s=now - sent,
         )
-        self._suspicion.note_broken(broken, now)
+        self._poisondetector.record_broken(broken, now)
         exchangelog.log_broken(
-            self._request.facts.request_id, broken, end, served_s
+            self._request.facts.request_id, broken, end, since_first_byte_s
         )
 
-    def note_clean(self) -> None:
+    def record_completion(self) -> None:
         """Clear the request, whose whole answer came."""
-        suspicion = self._suspicion
-        if not suspicion.is_empty() and suspicion.count_ends(self._content):
-            suspicion.note_clean(self._content)
+        poisondetector = self._poisondetector
+        if not poisondetector.is_empty() and poisondetector.count_crashes(
+            self._content
+        ):
+            poisondetector.record_completion(self._content)
 
     @functools.cached_property
     def _content(self) -> str:
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -70,12 +70,12 @@
         self.finish()
 
     @abc.abstractmethod
-    def fail(self, error: errors.CallerError, *, may_repeat: bool) -> None:
+    def fail(self, error: errors.CallerError, *, may_retry: bool) -> None:
         """Ends the answer with an error.
 
         Args:
           error: the error.
-          may_repeat: whether the request may run a second time.
+          may_retry: whether the request may run a second time.
         """
 
     @abc.abstractmethod
@@ -166,12 +166,12 @@
             self._closed = True
             self._ended = self._handler.finish(body or None)
 
-    def fail(self, error: errors.CallerError, *, may_repeat: bool) -> None:
+    def fail(self, error: errors.CallerError, *, may_retry: bool) -> None:
         """See base class."""
         if self._closed:
             return
         if not self.started:
-            self._fail_early(error, may_repeat)
+            self._fail_early(error, may_retry)
         elif self._events:
             self.write(errors.make_event(error, self._request_id))
             self.finish()
@@ -219,19 +219,19 @@
         self._unsent += size
         # The library completes only the future of the last write, and does so
         # when any write before it is done.
-        flushed.add_done_callback(self._note_flushed)
+        flushed.add_done_callback(self._record_flushed)
         if self._unsent > MAX_UNSENT_BYTES and self._blocked_since is None:
             self._blocked_since = self._now()
             if self._transfer is not None:
                 self._transfer.pause()
 
-    def _note_flushed(self, flushed: "asyncio.Future[None]") -> None:
+    def _record_flushed(self, flushed: "asyncio.Future[None]") -> None:
         """Goes on with the transfer once all is written."""
         if flushed.exception() is not None:
             self.close()
         elif self._stream.writing():
             if not self._closed:
-                self._handler.flush().add_done_callback(self._note_flushed)
+                self._handler.flush().add_done_callback(self._record_flushed)
         else:
             self._release()
 
@@ -242,11 +242,11 @@
         if self._transfer is not None:
             self._transfer.resume()
 
-    def _fail_early(self, error: errors.CallerError, may_repeat: bool) -> None:
+    def _fail_early(self, error: errors.CallerError, may_retry: bool) -> None:
         self.started = True
         self._closed = True
         self._handler.set_status(error.status)
-        for name, value in errors.make_headers(error, may_repeat=may_repeat):
+        for name, value in errors.make_headers(error, may_retry=may_retry):
             self._handler.set_header(name, value)
         body = errors.make_body(error, self._request_id)
         self._ended = self._handler.finish(body)
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -13,7 +13,7 @@
 from chervilrock.clients.curlpool import CurlPool
 from chervilrock.clients.httpclient import HttpClient
 from chervilrock.clients.liveness import ConnectionLiveness
-from chervilrock.decisions.serving.silence import bound_silence
+from chervilrock.decisions.serving.stalls import compute_stall_limits
 from chervilrock.decisions.serving.view import GroupEndpoint, NodeEntry
 from chervilrock.edges.serving.callers import CallerEdge
 from chervilrock.edges.serving.exchange import Context
@@ -29,16 +29,16 @@
 from chervilrock.platform.store import StoreClient
 from chervilrock.serving_metrics import ServingMetrics
 from chervilrock.tasks.clock import read_clock
-from chervilrock.tasks.serving.messages import SilenceSeen
+from chervilrock.tasks.serving.messages import StallReported
 from chervilrock.tasks.serving.node import NodeTask
 from chervilrock.tasks.serving.outbound import Ports
 from chervilrock.tasks.serving.peermessages import (
     decode_announcement,
-    decode_ends,
+    decode_crash_report,
     decode_limit,
 )
-from chervilrock.tasks.serving.room import WaitingRoom
-from chervilrock.tasks.serving.state import RepeatBounds, ServingState
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
+from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 MAX_REQUESTS = 1024
 """Requests to backend servers at once, far above the slots of all groups."""
@@ -100,14 +100,14 @@
         )
         self._state = ServingState(
             own=self._own,
-            bounds=RepeatBounds(
+            bounds=RetryBounds(
                 ratio=settings.repeat_ratio,
                 slack=settings.repeat_slack,
                 window_s=settings.repeat_window_s,
             ),
             generator=random.Random(),
         )
-        self._room = WaitingRoom()
+        self._waitqueue = WaitQueue()
         self._metrics = ServingMetrics()
         self._client = HttpClient()
         self._pool = CurlPool(
@@ -126,14 +126,14 @@
                 liveness=ConnectionLiveness(),
             ),
             state=self._state,
-            room=self._room,
+            waitqueue=self._waitqueue,
         )
         context = Context(
             state=self._state,
-            room=self._room,
+            waitqueue=self._waitqueue,
             pool=self._pool,
             metrics=self._metrics,
-            suspicion=self._task.suspicion,
+            poisondetector=self._task.poisondetector,
         )
         self._callers = CallerEdge(context=context)
         self._servers: list[httpserver.HTTPServer] = []
@@ -188,7 +188,7 @@
             self._serve(metrics, peers)
         for work in (self._task.run(), self._watch_groups()):
             task = asyncio.create_task(work)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._record_end)
             self._running.append(task)
         emit(
             Event.SERVING_STARTED,
@@ -214,7 +214,7 @@
         latest = began + self._settings.stop_within_s - STOP_MARGIN_S
         while read_clock() < latest:
             is_over = read_clock() - began >= LEAST_STOP_S
-            has_work = self._callers.exchanges or self._task.is_needed
+            has_work = self._callers.exchanges or self._task.has_followers
             if is_over and not has_work:
                 break
             await asyncio.sleep(WATCH_S)
@@ -255,7 +255,7 @@
             await server.close_all_connections()
         self._client.close()
 
-    def _note_end(self, task: "asyncio.Task[None]") -> None:
+    def _record_end(self, task: "asyncio.Task[None]") -> None:
         """End the process when a task has failed; half a node serves nobody."""
         if task.cancelled():
             return
@@ -282,25 +282,25 @@
         if watch is None or engine is None or not watch.running:
             return
         model = engine.models.get(endpoint.model)
-        limits = bound_silence(
+        limits = compute_stall_limits(
             engine,
-            pace=1.0 if model is None else model.pace,
+            pace=1.0 if model is None else model.time_factor,
             running=self._state.count_requests(endpoint.server),
         )
-        if not watch.is_silent(limits, now):
+        if not watch.is_stalled(limits, now):
             return
-        self._task.note_silence(endpoint.group, now)
+        self._task.report_stall(endpoint.group, now)
         streams = tuple(watch.list_streams())
-        moved = self._callers.note_silent(streams, now)
-        if moved or not watch.is_reported:
-            watch.is_reported = True
+        moved = self._callers.record_stall(streams, now)
+        if moved or not watch.is_stall_logged:
+            watch.is_stall_logged = True
             emit(
                 Event.GROUP_SILENT,
                 group=endpoint.group,
                 server=endpoint.server,
                 streams=len(streams),
                 moved=moved,
-                limit_ms=round(limits.between_s * 1000),
+                limit_ms=round(limits.between_events_s * 1000),
             )
 
     def _answer_platform(
@@ -341,7 +341,7 @@
         if path == "/peer/limit":
             return self._answer_limit(body)
         if path.startswith("/peer/silence/"):
-            self._task.mailbox.offer(SilenceSeen(rest.partition("/")[2]))
+            self._task.mailbox.offer(StallReported(rest.partition("/")[2]))
             return Reply(status=200)
         if path == "/state":
             dump = msgspec.json.encode(self._task.describe(now), enc_hook=str)
@@ -354,14 +354,14 @@
         announcement = decode_announcement(body)
         if announcement is None:
             return Reply(status=400)
-        answer = self._task.take_announcement(announcement, now)
+        answer = self._task.handle_announcement(announcement, now)
         return Reply(status=200, body=msgspec.json.encode(answer))
 
     def _answer_ends(self, body: bytes, now: float) -> Reply:
-        report = decode_ends(body)
+        report = decode_crash_report(body)
         if report is None:
             return Reply(status=400)
-        self._task.suspicion.note_report(report, now)
+        self._task.poisondetector.record_report(report, now)
         return Reply(status=200)
 
     def _answer_limit(self, body: bytes) -> Reply:
@@ -374,9 +374,9 @@
     def _answer_metrics(self, now: float) -> Reply:
         metrics = self._metrics
         metrics.running.set(len(self._callers.exchanges))
-        metrics.waiting.set(len(self._room))
+        metrics.waiting.set(len(self._waitqueue))
         metrics.leads.set(1 if self._task.is_leader else 0)
-        metrics.show_hosts(self._task.counts)
+        metrics.show_hosts(self._task.host_counts)
         metrics.show_store_ages(self._task.list_store_ages(now))
         metrics.revision_age.set(self._task.find_revision_age(now))
         metrics.revision_lag.set(self._task.find_revision_lag(now))
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -13,13 +13,13 @@
 from chervilrock.clients.httpclient import check_status, HttpClient
 from chervilrock.decisions.membership.exchange import Message, PeerExchange
 from chervilrock.decisions.membership.links import PeerLinks
-from chervilrock.decisions.membership.losses import LossWatch
-from chervilrock.decisions.membership.shelf import (
-    ConfigurationShelf,
-    ShareBook,
+from chervilrock.decisions.membership.localconfiguration import (
+    LocalConfiguration,
+    ShareTracker,
 )
-from chervilrock.decisions.membership.soundness import is_sound
+from chervilrock.decisions.membership.losses import LossDetector
 from chervilrock.decisions.membership.table import MemberTable
+from chervilrock.decisions.membership.validation import is_valid_digest
 from chervilrock.generated.interfaces import PeerDigest
 from chervilrock.tasks.clock import Clock
 
@@ -28,11 +28,11 @@
     import random
 
 __all__ = [
-    "ConfigurationShelf",
+    "LocalConfiguration",
     "HttpPeerChannel",
     "PeerChannel",
     "PeerTask",
-    "ShareBook",
+    "ShareTracker",
     "decode_digest",
 ]
 
@@ -83,7 +83,7 @@
         digest = _DIGEST_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return Failure(PlatformError(PlatformErrorKind.BAD_ANSWER, str(error)))
-    if not is_sound(digest):
+    if not is_valid_digest(digest):
         message = "a value of the digest is out of bounds"
         return Failure(PlatformError(PlatformErrorKind.BAD_ANSWER, message))
     return Success(digest)
@@ -97,8 +97,8 @@
         *,
         table: MemberTable,
         channel: PeerChannel,
-        shelf: ConfigurationShelf,
-        shares: ShareBook,
+        localconfiguration: LocalConfiguration,
+        shares: ShareTracker,
         seeds: tuple[str, ...],
         clock: Clock,
         generator: "random.Random",
@@ -109,7 +109,7 @@
         Args:
           table: the nodes; this task alone changes it
           channel: carries digests
-          shelf: holds the configuration in force
+          localconfiguration: holds the configuration in force
           shares: counts the requests of bounded workspaces
           seeds: addresses of nodes from the settings
           clock: the clock of this process
@@ -120,14 +120,14 @@
         self._channel = channel
         self._clock = clock
         self._before_exchange = before_exchange
-        self._losses = LossWatch()
+        self._losses = LossDetector()
         self._under_way: set[asyncio.Task[None]] = set()
         self._error: BaseException | None = None
         self._links = PeerLinks(table=table, seeds=seeds, generator=generator)
         self._exchange = PeerExchange(
             table=table,
             links=self._links,
-            shelf=shelf,
+            localconfiguration=localconfiguration,
             shares=shares,
             generator=generator,
         )
@@ -142,9 +142,9 @@
             for task in self._under_way:
                 task.cancel()
 
-    def note_controller(self, address: str) -> None:
+    def record_controller(self, address: str) -> None:
         """Take the controller that the log names as one more seed."""
-        self._links.note_controller(address)
+        self._links.record_controller(address)
 
     def begin(self) -> None:
         """Begin the exchanges of an interval."""
@@ -154,12 +154,12 @@
         self._log_changes(now)
         self._start(messages)
 
-    def begin_prompt(self) -> None:
+    def begin_immediate(self) -> None:
         """Begin an exchange at once, if there is urgent news."""
-        if self._under_way or not self._exchange.wants_prompt():
+        if self._under_way or not self._exchange.is_immediate_due():
             return
         self._before_exchange()
-        message = self._exchange.begin_prompt(self._clock())
+        message = self._exchange.begin_immediate(self._clock())
         if message is not None:
             self._start((message,))
 
@@ -188,7 +188,7 @@
         while (left := until - self._clock()) > 0:
             await asyncio.sleep(min(left, PROMPT_POLL_S))
             self.raise_error()
-            self.begin_prompt()
+            self.begin_immediate()
 
     def _start(self, messages: Iterable[Message]) -> None:
         for message in messages:
@@ -196,9 +196,9 @@
                 return
             task = asyncio.create_task(self._run_exchange(message))
             self._under_way.add(task)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._record_end)
 
-    def _note_end(self, task: "asyncio.Task[None]") -> None:
+    def _record_end(self, task: "asyncio.Task[None]") -> None:
         """Keep the error of an exchange, so that `run` ends with it."""
         self._under_way.discard(task)
         if not task.cancelled() and task.exception() is not None:
@@ -224,7 +224,7 @@
             events.emit(
                 events.Event.PEER_LOST, node=peer.node, address=peer.address
             )
-        for peer in changes.back:
+        for peer in changes.recovered:
             events.emit(
                 events.Event.PEER_BACK, node=peer.node, address=peer.address
             )
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -1,4 +1,4 @@
-"""What a node does while it leads: it moves groups and tells all nodes."""
+"""The duties of a leader: control groups and send announcements to nodes."""
 
 import asyncio
 from collections.abc import Iterable
@@ -7,31 +7,31 @@
 from returns.result import Failure
 
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.census import INTERVAL_S, ModelCount
 from chervilrock.decisions.serving.controller import Controller
 from chervilrock.decisions.serving.effects import (
     Command,
     Effect,
-    GroupNote,
-    Question,
+    GroupChange,
+    StatusQuery,
 )
 from chervilrock.decisions.serving.entries import NewestEntries
+from chervilrock.decisions.serving.hostcounts import INTERVAL_S, ModelCount
 from chervilrock.decisions.serving.leadership import (
     find_interval,
-    find_pause,
-    SILENT_INTERVALS,
-    STORE_SILENCE_S,
+    find_min_interval,
+    MISSED_INTERVALS,
+    STORE_TIMEOUT_S,
 )
-from chervilrock.decisions.serving.limitbook import LimitBook
-from chervilrock.decisions.serving.paces import SERVERS_PACE
-from chervilrock.decisions.serving.relays import Circle, RelayTable
+from chervilrock.decisions.serving.limitregistry import LimitRegistry
+from chervilrock.decisions.serving.polling import SERVERS_SCHEDULE
+from chervilrock.decisions.serving.relays import Recipients, RelayTable
 from chervilrock.decisions.serving.serverlimits import LimitedServer
 from chervilrock.decisions.serving.site import SiteConfiguration
-from chervilrock.decisions.serving.storewatch import StoreWatch
+from chervilrock.decisions.serving.storehealth import StoreMonitor
 from chervilrock.decisions.serving.view import (
-    add_up,
     Announcement,
     GroupEndpoint,
+    merge_summaries,
     ServerEndpoint,
     ServingView,
     Summary,
@@ -44,20 +44,20 @@
     ServerAnswered,
 )
 from chervilrock.tasks.serving.outbound import DecodeServer, Outbound
-from chervilrock.tasks.serving.peers import News, Peers
+from chervilrock.tasks.serving.peers import Peers, Update
 from chervilrock.tasks.serving.state import ServingState
 
 OUTAGE_GRACE_S = 2.3
-"""Time after the store has come back for entries that lapsed meanwhile: they
-are back within two seconds, or their servers are gone."""
+"""Time after a recovery of the store for entries that lapsed in the meantime:
+servers that still run write them again within two seconds."""
 
 
-class Leading:
+class LeaderRole:
     """One term of this node as the leader.
 
     Attributes:
-      term: offset of the claim.
-      counts: what the hosts do, as it was last counted.
+      term: number of the term, made of the era and offset of the claim.
+      host_counts: latest host counts for each model.
     """
 
     def __init__(
@@ -65,19 +65,19 @@
         *,
         term: int,
         state: ServingState,
-        store: StoreWatch,
+        store: StoreMonitor,
         outbound: Outbound,
         decode_server: DecodeServer,
         entries: NewestEntries,
     ) -> None:
-        """Begin to lead: read the servers and speak to the nodes.
+        """Start to lead: read the server entries and call the nodes.
 
         Args:
-          term: offset of the claim.
-          state: what the handlers use.
-          store: whether the store answers.
+          term: number of the term, made of the era and offset of the claim.
+          state: state that is shared with the request handlers.
+          store: availability of the store.
           outbound: makes calls.
-          decode_server: reads the entry of a server.
+          decode_server: decodes the entry of a server.
           entries: newest entries that this process has read.
         """
         self._entries = entries
@@ -91,31 +91,33 @@
         if state.routes is not None:
             self.set_configuration(state.routes.configuration)
         self._relays = RelayTable(data_centre=state.own.data_centre)
-        self._circle = Circle((), frozenset())
+        self._recipients = Recipients((), frozenset())
         self._peers = Peers(send=outbound.announce)
-        self._limits = LimitBook(known=state.view.limits)
+        self._limits = LimitRegistry(known=state.view.limits)
         self._summary = Summary()
         self._loads: dict[str, int] = {}
         self._senders = 0
         self._sequence = 0
         self._nodes_sequence = 0
         self._has_servers = False
-        self._counted = float("-inf")
-        self.counts: tuple[ModelCount, ...] = ()
+        self._counted_at = float("-inf")
+        self.host_counts: tuple[ModelCount, ...] = ()
         self._pending_removals: dict[str, float] = {}
-        self._follower = outbound.follow(Topic.SERVERS, lambda: SERVERS_PACE)
+        self._follower = outbound.follow(
+            Topic.SERVERS, lambda: SERVERS_SCHEDULE
+        )
 
     def close(self) -> None:
-        """Lead no more."""
+        """Stop leading."""
         self._follower.cancel()
 
     def renew_reads(self) -> None:
-        """Begin to read the servers anew, as the store was silent."""
+        """Restart the read of the server entries after a store outage."""
         self._follower.renew()
 
     @property
     def summary(self) -> Summary:
-        """What all other nodes have answered together."""
+        """Combined answers of all other nodes."""
         return self._summary
 
     @property
@@ -124,36 +126,36 @@
         return bool(self._summary.nodes)
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return what it knows of the groups, for a dump of the state."""
+        """Return the state of the groups for a dump."""
         return self._controller.describe()
 
     def set_configuration(self, configuration: SiteConfiguration) -> None:
-        """Form the groups of another configuration."""
+        """Apply another configuration to the groups."""
         self._controller.set_configuration(configuration)
 
-    def note_silent(self, group: str, now: float) -> None:
-        """Note that the streams of a group have stopped somewhere."""
-        self._controller.note_silent(group, now)
+    def record_stall(self, group: str, now: float) -> None:
+        """Record that streams of a group have stalled on some node."""
+        self._controller.record_stall(group, now)
 
-    def note_limit(self, server: str, rate: float | None) -> None:
-        """Note the limit that a node has heard of a server, None for none."""
-        if self._limits.note(server, rate):
+    def record_limit(self, server: str, rate: float | None) -> None:
+        """Record the rate limit that a server sent to a node, None for none."""
+        if self._limits.record(server, rate):
             emit(Event.LIMIT_TOLD, server=server, rate=rate)
 
-    def note_report(self, answered: ServerAnswered, now: float) -> None:
-        """Note what a server told of itself."""
-        self._controller.note_report(answered.server, answered.report, now)
+    def record_report(self, answered: ServerAnswered, now: float) -> None:
+        """Record the status report of a server."""
+        self._controller.record_report(answered.server, answered.report, now)
 
-    def note_reply(self, answered: OrderAnswered, now: float) -> None:
-        """Note what became of an order."""
-        self._controller.note_reply(
+    def record_reply(self, answered: OrderAnswered, now: float) -> None:
+        """Record the outcome of an order."""
+        self._controller.record_reply(
             answered.server, answered.order, answered.reply, now
         )
 
-    def note_servers(self, read: RecordsRead, now: float) -> None:
-        """Take the entries of servers."""
+    def record_servers(self, read: RecordsRead, now: float) -> None:
+        """Apply changed and removed entries of servers."""
         self._has_servers = self._has_servers or read.is_snapshot
-        self._note_copy(read, now)
+        self._check_restore(read, now)
         for record in read.page.records:
             if not record.value:
                 self._pending_removals.setdefault(record.key, now)
@@ -164,20 +166,20 @@
                 reason = decoded.failure()
                 emit(Event.RECORD_UNREADABLE, key=record.key, reason=reason)
                 continue
-            entry = self._entries.take(decoded.unwrap())
-            self._controller.note_server(entry, now)
+            entry = self._entries.update(decoded.unwrap())
+            self._controller.record_server(entry, now)
 
-    def take_over(self, now: float) -> None:
-        """Go on with the servers that this process knew in its last term.
+    def keep_known_servers(self, now: float) -> None:
+        """Keep the servers that this process knew in its previous term.
 
-        The store came back from a copy, in which some of them are missing.
+        The store was restored from a backup, which lacks some of them.
         """
         for entry in self._entries.list_present():
-            self._controller.note_server(entry, now)
+            self._controller.record_server(entry, now)
             self._pending_removals.setdefault(entry.server, now)
 
-    def _note_copy(self, read: RecordsRead, now: float) -> None:
-        """Count servers that a copy lacks as gone, unless they write soon."""
+    def _check_restore(self, read: RecordsRead, now: float) -> None:
+        """After a restore, remove all servers that do not write soon."""
         former_era = self._servers_era
         self._servers_era = read.page.era
         if former_era is None or read.page.era == former_era:
@@ -185,18 +187,18 @@
         for entry in self._entries.list_present():
             self._pending_removals.setdefault(entry.server, now)
 
-    def note_answered(self, answered: PeerAnswered, now: float) -> None:
-        """Note what came of an announcement."""
+    def record_answered(self, answered: PeerAnswered, now: float) -> None:
+        """Record the outcome of an announcement."""
         incarnation = answered.incarnation
         answer = answered.acknowledgement
         node = self._peers.find(incarnation)
-        self._peers.take(incarnation, answer, self.interval_s, now)
+        self._peers.record_answer(incarnation, answer, self.interval_s, now)
         if node is None:
             return
         if answer is None or answer.node.incarnation != incarnation:
-            self._relays.note_failure(incarnation, now)
+            self._relays.record_failure(incarnation, now)
         elif answer.relayed is not None:
-            self._relays.note_answer(node, answer.relayed, now)
+            self._relays.record_relay_answer(node, answer.relayed, now)
 
     @property
     def interval_s(self) -> float:
@@ -204,96 +206,100 @@
         return find_interval(len(self._peers))
 
     def act(self, now: float) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self._remove_servers(now)
         if not self._has_servers:
             return
         others = [
-            one
-            for one in self._state.known_nodes.values()
-            if one.incarnation != self._state.own.incarnation
+            node
+            for node in self._state.known_nodes.values()
+            if node.incarnation != self._state.own.incarnation
         ]
-        former = self._circle.relays
-        self._circle = self._relays.choose(others, now)
-        self._note_relays(former)
-        self._peers.sync(self._circle.nodes, now)
-        self._sum_up(now)
-        self._controller.note_requests(
+        former = self._recipients.relays
+        self._recipients = self._relays.choose(others, now)
+        self._log_new_relays(former)
+        self._peers.sync(self._recipients.nodes, now)
+        self._summarize_answers(now)
+        self._controller.record_requests(
             self._loads, self._limits.find_rates(), now
         )
         for effect in self._controller.step(now):
-            self._carry_out(effect)
+            self._execute(effect)
         self._count_hosts(now)
-        self._renew_view(now)
-        news = self._make_news(now)
-        self._peers.announce(news, now)
+        self._update_view(now)
+        update = self._make_update(now)
+        self._peers.announce(update, now)
 
     async def resign(self, now: float) -> None:
-        """Tell all nodes that this one stops, so that another one leads."""
-        news = self._make_news(now)
-        sends = self._peers.announce(news, now, is_last=True)
-        await asyncio.gather(*sends)
+        """Announce to all nodes that this one stops, so that another leads."""
+        update = self._make_update(now)
+        tasks = self._peers.announce(update, now, is_last=True)
+        await asyncio.gather(*tasks)
 
     def _remove_servers(self, now: float) -> None:
-        """Take out the servers whose entries are gone for good."""
-        is_lost = self._store.lost_at is not None
-        if is_lost or now - self._store.back_at < OUTAGE_GRACE_S:
+        """Remove the servers whose entries were deleted and not rewritten."""
+        is_lost = self._store.unavailable_since is not None
+        if is_lost or now - self._store.recovered_at < OUTAGE_GRACE_S:
             return
         for server in self._pending_removals:
             emit(Event.SERVER_GONE, server=server)
-            self._entries.note_gone(server)
-            self._controller.note_gone(server)
+            self._entries.record_gone(server)
+            self._controller.record_removed(server)
         self._pending_removals.clear()
 
-    def _note_relays(self, former: frozenset[str]) -> None:
-        """Log the relays that were not so before."""
-        for node in self._circle.nodes:
-            if node.incarnation in self._circle.relays - former:
+    def _log_new_relays(self, former: frozenset[str]) -> None:
+        """Log the newly chosen relays."""
+        for node in self._recipients.nodes:
+            if node.incarnation in self._recipients.relays - former:
                 emit(
                     Event.RELAY_CHOSEN,
                     node=node.node,
                     data_centre=node.data_centre,
                 )
 
-    def _sum_up(self, now: float) -> None:
-        """Take what the nodes have answered together."""
+    def _summarize_answers(self, now: float) -> None:
+        """Combine the answers of the nodes and apply them."""
         state = self._state
-        summary = add_up(
+        summary = merge_summaries(
             [
                 self._peers.summarize(self.interval_s, now),
                 *self._relays.list_answers(now),
             ]
         )
         self._summary = summary
-        self._list_nodes(summary)
+        self._update_node_list(summary)
         loads = dict(summary.loads)
         for server, count in state.own_loads.items():
             loads[server] = loads.get(server, 0) + count
         self._loads = loads
         self._senders = summary.senders + bool(state.own_loads)
-        state.take_loads(loads, state.own_loads, senders=self._senders, now=now)
+        state.apply_loads(
+            loads, state.own_loads, senders=self._senders, now=now
+        )
         state.has_traffic = state.has_traffic or summary.has_traffic
         if state.has_traffic:
-            self._controller.note_traffic()
-        for group in summary.silent:
-            self._controller.note_silent(group, now)
+            self._controller.record_traffic()
+        for group in summary.stalled:
+            self._controller.record_stall(group, now)
 
-    def _list_nodes(self, summary: Summary) -> None:
-        """Make a new list of the nodes that take callers if it changed."""
+    def _update_node_list(self, summary: Summary) -> None:
+        """Update the list of the nodes that take callers if it has changed."""
         state = self._state
         live = set(summary.nodes)
         if not state.is_stopping:
             live.add(state.own.incarnation)
         known = {*state.known_nodes.values(), state.own}
-        nodes = tuple(sorted(one for one in known if one.incarnation in live))
+        nodes = tuple(
+            sorted(node for node in known if node.incarnation in live)
+        )
         if nodes != state.nodes or state.nodes_version[0] != self.term:
             self._nodes_sequence += 1
             state.nodes = nodes
             state.nodes_version = (self.term, self._nodes_sequence)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
-            case GroupNote():
+            case GroupChange():
                 emit(
                     Event.GROUP_CHANGED,
                     group=effect.group,
@@ -303,41 +309,43 @@
                 )
             case Command():
                 self._outbound.order(effect)
-            case Question():
-                self._outbound.ask(effect.server)
+            case StatusQuery():
+                self._outbound.query_status(effect.server)
 
     def _count_hosts(self, now: float) -> None:
-        """Count and log what the hosts do, once in a while."""
-        if now - self._counted < INTERVAL_S:
+        """Count the hosts by state and log the counts periodically."""
+        if now - self._counted_at < INTERVAL_S:
             return
-        self._counted = now
-        self.counts = self._controller.count_hosts(now)
-        for one in self.counts:
+        self._counted_at = now
+        self.host_counts = self._controller.count_hosts(now)
+        for count in self.host_counts:
             emit(
                 Event.HOSTS_COUNTED,
-                service=one.service,
-                model=one.model,
-                groups=one.groups,
-                needed=round(one.needed, 1),
-                is_short=one.is_short,
-                hosts={state.value: n for state, n in one.hosts.items()},
+                service=count.service,
+                model=count.model,
+                groups=count.groups,
+                needed=round(count.needed, 1),
+                is_short=count.is_short,
+                hosts={
+                    state.value: number for state, number in count.hosts.items()
+                },
                 places={
                     f"{place} {state.value}": number
                     for (place, state), number in sorted(
-                        one.places.items(), key=lambda item: item[0][0]
+                        count.places.items(), key=lambda item: item[0][0]
                     )
                 },
             )
 
-    def _renew_view(self, now: float) -> None:
-        """Make a new view if anything that it tells has changed."""
+    def _update_view(self, now: float) -> None:
+        """Create a new view if any of its content has changed."""
         controller = self._controller
         state = self._state
-        if not controller.has_looked(now):
+        if not controller.has_adopted_groups(now):
             return
         groups = controller.list_groups(now)
         servers = controller.list_servers()
-        forming = controller.list_forming()
+        forming = controller.list_forming_models()
         limits = self._list_limits(groups, servers, now)
         view = state.view
         is_same = (view.groups, view.servers, view.forming, view.limits) == (
@@ -350,7 +358,7 @@
             state.view_time = now
             return
         self._sequence += 1
-        state.use_view(
+        state.apply_view(
             ServingView(
                 term=self.term,
                 sequence=self._sequence,
@@ -368,15 +376,15 @@
         servers: Iterable[ServerEndpoint],
         now: float,
     ) -> tuple[LimitedServer, ...]:
-        """Return the servers with limits, and the nodes that send to them."""
+        """Return the rate-limited servers and the nodes that send to them."""
         if not self._limits.find_rates():
             return ()
-        present = [one.server for one in groups]
-        present += [one.server for one in servers]
+        present = [group.server for group in groups]
+        present += [server.server for server in servers]
         nodes = self._state.list_active_nodes(self._state.own.node, now)
-        return self._limits.list(present, nodes, now)
+        return self._limits.list_servers(present, nodes, now)
 
-    def _make_news(self, now: float) -> News:
+    def _make_update(self, now: float) -> Update:
         state = self._state
         interval_s = self.interval_s
         base = Announcement(
@@ -390,24 +398,25 @@
             revision=max(state.revision, self._summary.revision),
             has_traffic=state.has_traffic,
             is_stopping=state.is_stopping,
-            is_cut_from_store=now - self._store.answered > STORE_SILENCE_S,
-            lost_after_s=SILENT_INTERVALS * interval_s,
+            is_store_unreachable=now - self._store.answered_at
+            > STORE_TIMEOUT_S,
+            lost_after_s=MISSED_INTERVALS * interval_s,
             is_relay=False,
-            store_returns=self._store.returns,
+            store_recoveries=self._store.recoveries,
             suspects_sequence=state.suspects.version[1],
             senders=self._senders,
         )
-        return News(
+        return Update(
             base=base,
             view=state.view,
             nodes=state.nodes,
             nodes_version=state.nodes_version,
             interval_s=interval_s,
-            busy_pause_s=find_pause(
-                self._peers.count_busy(self._circle.relays)
+            busy_pause_s=find_min_interval(
+                self._peers.count_busy(self._recipients.relays)
             ),
-            idle_pause_s=find_pause(len(self._peers)),
-            relays=self._circle.relays,
-            suspects=state.suspects.told,
+            idle_pause_s=find_min_interval(len(self._peers)),
+            relays=self._recipients.relays,
+            suspects=state.suspects.announced,
             suspects_version=state.suspects.version,
         )
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -1,66 +1,71 @@
-"""Passing announcements on within a data centre."""
+"""Forwarding of announcements within a data centre."""
 
 from chervilrock.decisions.serving.leadership import (
-    find_pause,
-    SILENT_INTERVALS,
+    find_min_interval,
+    MISSED_INTERVALS,
 )
-from chervilrock.decisions.serving.relays import SWITCH_S
+from chervilrock.decisions.serving.relays import RELAY_SWITCH_S
 from chervilrock.decisions.serving.view import Announcement, Summary
 from chervilrock.tasks.serving.messages import PeerAnswered
 from chervilrock.tasks.serving.outbound import Outbound
-from chervilrock.tasks.serving.peers import News, Peers
+from chervilrock.tasks.serving.peers import Peers, Update
 from chervilrock.tasks.serving.state import ServingState
 
 
 class Relay:
-    """Tells the nodes of the own data centre what the leader tells this one.
+    """Forwards the announcements of the leader to the own data centre.
 
-    It speaks only when the leader has spoken, so that these nodes miss a
-    leader that is gone.
+    It sends only in response to an announcement, so that the nodes behind it
+    also lose contact when the leader fails.
     """
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
-        """Pass on what a node takes over into its state."""
+        """Create a relay that has not forwarded anything.
+
+        Args:
+          state: state of this node, to which announcements were applied.
+          outbound: makes calls.
+        """
         self._state = state
         self._outbound = outbound
         self._peers = Peers(send=outbound.announce)
         self._term = -1
         self._lost_after_s = 0.0
-        self._passed = float("-inf")
+        self._forwarded_at = float("-inf")
 
-    def pass_on(self, announcement: Announcement, now: float) -> Summary | None:
-        """Pass an announcement on that was taken over.
+    def forward(self, announcement: Announcement, now: float) -> Summary | None:
+        """Forward an announcement that was applied to the state.
 
         Returns:
-          What the nodes have answered so far, None while one of them was not
-          tried yet, or when this node is not the relay.
+          Summary of the latest answers of the nodes. None when this node is not
+          the relay, or while one of the nodes has neither answered nor failed.
         """
         if not announcement.is_relay:
             return None
-        # After a pause, old answers would count as those of lost nodes.
+        # After a pause, outdated answers would make nodes look lost.
         if announcement.term != self._term or not self.is_active(now):
             self._peers = Peers(send=self._outbound.announce)
         self._term = announcement.term
-        self._passed = now
+        self._forwarded_at = now
         self._lost_after_s = announcement.lost_after_s
         self._sync(announcement, now)
-        news = self._make_news(announcement)
-        self._peers.announce(news, now, is_last=announcement.is_stopping)
-        if not self._peers.is_tried():
+        update = self._make_update(announcement)
+        self._peers.announce(update, now, is_last=announcement.is_stopping)
+        if not self._peers.has_all_outcomes():
             return None
         return self._peers.summarize(self._interval_s, now)
 
     def is_active(self, now: float) -> bool:
-        """Tell whether the leader has this node pass announcements on."""
-        return now - self._passed <= self._lost_after_s
+        """Return whether the leader currently uses this node as a relay."""
+        return now - self._forwarded_at <= self._lost_after_s
 
     @property
     def _interval_s(self) -> float:
-        return self._lost_after_s / SILENT_INTERVALS
+        return self._lost_after_s / MISSED_INTERVALS
 
-    def note_answered(self, answered: PeerAnswered, now: float) -> None:
-        """Note what came of an announcement that was passed on."""
-        self._peers.take(
+    def record_answered(self, answered: PeerAnswered, now: float) -> None:
+        """Record the answer to a forwarded announcement."""
+        self._peers.record_answer(
             answered.incarnation,
             answered.acknowledgement,
             self._interval_s,
@@ -72,19 +77,19 @@
         skipped = {own.incarnation, announcement.leader.incarnation}
         self._peers.sync(
             [
-                one
-                for one in self._state.known_nodes.values()
-                if one.data_centre == own.data_centre
-                and one.incarnation not in skipped
+                node
+                for node in self._state.known_nodes.values()
+                if node.data_centre == own.data_centre
+                and node.incarnation not in skipped
             ],
             now,
         )
 
-    def _make_news(self, announcement: Announcement) -> News:
+    def _make_update(self, announcement: Announcement) -> Update:
         state = self._state
-        return News(
+        return Update(
             base=announcement._replace(
-                lost_after_s=announcement.lost_after_s + SWITCH_S,
+                lost_after_s=announcement.lost_after_s + RELAY_SWITCH_S,
                 loads_lag=announcement.loads_lag + 1,
             ),
             view=state.view,
@@ -92,7 +97,7 @@
             nodes_version=state.nodes_version,
             interval_s=self._interval_s,
             busy_pause_s=0.0,
-            idle_pause_s=find_pause(len(self._peers)),
-            suspects=state.suspects.told,
+            idle_pause_s=find_min_interval(len(self._peers)),
+            suspects=state.suspects.announced,
             suspects_version=state.suspects.version,
         )
--- a/test/decisions/control/test_safety.py
+++ b/test/decisions/control/test_safety.py
@@ -6,7 +6,7 @@
 
 from chervilrock.decisions import configurations, region_rules
 from chervilrock.decisions.control import release
-from chervilrock.decisions.lease import LeaseHolder, LeaseTaker
+from chervilrock.decisions.lease import LeaseHolder, LeaseObserver
 from chervilrock.decisions.presence import PresenceTable
 from chervilrock.decisions.streams import StreamReader
 from chervilrock.decisions.verdicts import VerdictKind
@@ -68,12 +68,12 @@
 def skip_lease_wait(patch):
     """Take a lease over without waiting for its end."""
     over_at = property(lambda self: 0.0, lambda self, value: None)
-    patch.setattr(LeaseTaker, "over_at", over_at, raising=False)
+    patch.setattr(LeaseObserver, "over_at", over_at, raising=False)
 
 
 def skip_quiet_wait(patch):
     """Trust engines that check no number before old orders have ended."""
-    patch.setattr(release, "find_quiet", lambda context, host: 0.0)
+    patch.setattr(release, "find_quiet_time", lambda context, host: 0.0)
 
 
 def skip_lease_check(patch):
@@ -83,14 +83,14 @@
 
 def count_from_reading(patch):
     """Count the lease from when its renewal was read."""
-    noted = LeaseHolder.note_accepted
+    noted = LeaseHolder.record_accepted
 
-    def note_accepted(self, record_id, epoch):
+    def record_accepted(self, record_id, epoch):
         if record_id in self._sent:
             self._sent[record_id] += 3.0
         noted(self, record_id, epoch)
 
-    patch.setattr(LeaseHolder, "note_accepted", note_accepted)
+    patch.setattr(LeaseHolder, "record_accepted", record_accepted)
 
 
 def serve_one_short(patch):
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -1,4 +1,4 @@
-"""Routes, attempts, streams, repeats, silence, leaders and plans."""
+"""Routes, attempts, streams, retries, stalls, leader election and waiting."""
 
 import random
 from typing import Any
@@ -9,33 +9,28 @@
 
 from chervilrock.decisions.serving import groupnames
 from chervilrock.decisions.serving.attempts import (
+    classify_answer,
     decide_next,
-    judge_answer,
-    Next,
+    NextStep,
     Progress,
-    SendEnd,
+    SendOutcome,
 )
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.leadership import (
     Claim,
+    CLAIM_STAGGER_S,
     find_interval,
     Leadership,
-    SILENT_INTERVALS,
-    STEP_S,
+    MISSED_INTERVALS,
 )
 from chervilrock.decisions.serving.messages import AnswerFacts
-from chervilrock.decisions.serving.repeats import RepeatBudget
+from chervilrock.decisions.serving.retrybudget import RetryBudget
 from chervilrock.decisions.serving.routes import (
     Admission,
     choose_service,
     Denial,
     RouteTable,
 )
-from chervilrock.decisions.serving.silence import (
-    bound_silence,
-    GroupWatch,
-    SilenceLimits,
-)
 from chervilrock.decisions.serving.site import (
     Limits,
     Route,
@@ -44,17 +39,22 @@
     WeightedService,
     Workspace,
 )
+from chervilrock.decisions.serving.stalls import (
+    compute_stall_limits,
+    StallDetector,
+    StallLimits,
+)
 from chervilrock.decisions.serving.streams import EventSplitter
 from chervilrock.decisions.serving.view import LeaderEntry
 from chervilrock.decisions.serving.waiting import (
-    decide_patience,
-    Prospect,
+    Availability,
+    decide_wait,
     REPAIR_S,
-    Wait,
+    WaitingRequest,
 )
 from test.decisions.serving.fleet import ENGINE, LARGE, SMALL
 
-LIMITS = SilenceLimits(between_s=0.2, first_s=0.35)
+LIMITS = StallLimits(between_events_s=0.2, first_event_s=0.35)
 
 OWN = AnswerFacts(
     status=200,
@@ -134,7 +134,7 @@
         ("/open/x", "k", 1),
     ],
 )
-def test_a_key_opens_routes_and_sets_the_rank(
+def test_a_key_grants_access_to_routes_and_sets_the_priority(
     table: RouteTable, path: str, key: str, outcome: object
 ) -> None:
     admitted = table.admit("h", path, key)
@@ -156,238 +156,244 @@
 @pytest.mark.parametrize(
     ("change", "is_whole", "end"),
     [
-        ({}, True, SendEnd.COMPLETE),
-        ({"request_id": ""}, True, SendEnd.COMPLETE),
-        ({"request_id": "other"}, True, SendEnd.LOST),
-        ({"has_receipt": False}, True, SendEnd.LOST),
-        ({"is_encoded": True}, True, SendEnd.LOST),
-        ({}, False, SendEnd.LOST),
-        ({"status": 500}, True, SendEnd.FAILED),
-        ({"status": 404}, True, SendEnd.FAILED),
-        ({"status": 503, "is_not_run": True}, True, SendEnd.NOT_RUN),
-        ({"status": 503}, True, SendEnd.LOST),
-        ({"status": 429}, True, SendEnd.LOST),
-        ({"status": 408}, True, SendEnd.LOST),
+        ({}, True, SendOutcome.COMPLETE),
+        ({"request_id": ""}, True, SendOutcome.COMPLETE),
+        ({"request_id": "other"}, True, SendOutcome.LOST),
+        ({"has_receipt": False}, True, SendOutcome.LOST),
+        ({"is_encoded": True}, True, SendOutcome.LOST),
+        ({}, False, SendOutcome.LOST),
+        ({"status": 500}, True, SendOutcome.FAILED),
+        ({"status": 404}, True, SendOutcome.FAILED),
+        ({"status": 503, "is_not_run": True}, True, SendOutcome.NOT_RUN),
+        ({"status": 503}, True, SendOutcome.LOST),
+        ({"status": 429}, True, SendOutcome.LOST),
+        ({"status": 408}, True, SendOutcome.LOST),
     ],
 )
 def test_an_answer_is_judged_by_what_it_proves(
-    change: dict[str, Any], is_whole: bool, end: SendEnd
+    change: dict[str, Any], is_whole: bool, end: SendOutcome
 ) -> None:
     facts = OWN._replace(**change)
-    judged = judge_answer(facts, request_id="r", is_whole=is_whole)
+    judged = classify_answer(facts, request_id="r", is_whole=is_whole)
     assert_that(judged, Is(end))
 
 
 @pytest.mark.parametrize(
-    ("end", "status", "progress", "may_repeat", "following"),
+    ("end", "status", "progress", "may_retry", "following"),
     [
-        (SendEnd.COMPLETE, 200, Progress(1, True), False, Next.FINISH),
-        (SendEnd.NOT_RUN, 503, Progress(1, False), False, Next.REPEAT),
-        (SendEnd.NOT_RUN, 503, Progress(2, False), False, Next.GIVE_UP),
-        (SendEnd.NOT_RUN, 503, Progress(1, True), False, Next.GIVE_UP),
-        (SendEnd.LOST, 0, Progress(1, True), False, Next.GIVE_UP),
-        (SendEnd.LOST, 0, Progress(1, True), True, Next.REPEAT),
-        (SendEnd.LOST, 0, Progress(2, True), True, Next.GIVE_UP),
-        (SendEnd.FAILED, 500, Progress(1, True), False, Next.FINISH),
-        (SendEnd.FAILED, 500, Progress(1, True), True, Next.REPEAT),
-        (SendEnd.FAILED, 404, Progress(1, True), True, Next.FINISH),
-        (SendEnd.FAILED, 500, Progress(2, True), True, Next.FINISH),
-        (SendEnd.SILENT, 0, Progress(1, True), True, Next.REPEAT),
+        (SendOutcome.COMPLETE, 200, Progress(1, True), False, NextStep.FINISH),
+        (SendOutcome.NOT_RUN, 503, Progress(1, False), False, NextStep.RETRY),
+        (SendOutcome.NOT_RUN, 503, Progress(2, False), False, NextStep.GIVE_UP),
+        (SendOutcome.NOT_RUN, 503, Progress(1, True), False, NextStep.GIVE_UP),
+        (SendOutcome.LOST, 0, Progress(1, True), False, NextStep.GIVE_UP),
+        (SendOutcome.LOST, 0, Progress(1, True), True, NextStep.RETRY),
+        (SendOutcome.LOST, 0, Progress(2, True), True, NextStep.GIVE_UP),
+        (SendOutcome.FAILED, 500, Progress(1, True), False, NextStep.FINISH),
+        (SendOutcome.FAILED, 500, Progress(1, True), True, NextStep.RETRY),
+        (SendOutcome.FAILED, 404, Progress(1, True), True, NextStep.FINISH),
+        (SendOutcome.FAILED, 500, Progress(2, True), True, NextStep.FINISH),
+        (SendOutcome.STALLED, 0, Progress(1, True), True, NextStep.RETRY),
     ],
 )
-def test_only_what_may_be_repeated_is_sent_again(
-    end: SendEnd,
+def test_only_requests_that_may_be_repeated_are_retried(
+    end: SendOutcome,
     status: int,
     progress: Progress,
-    may_repeat: bool,
-    following: Next,
+    may_retry: bool,
+    following: NextStep,
 ) -> None:
     decided = decide_next(
         end,
         status=status,
         progress=progress,
-        may_repeat=may_repeat,
+        may_retry=may_retry,
         max_attempts=2,
     )
     assert_that(decided, Is(following))
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
-def test_events_come_whole_however_they_are_cut(size: int) -> None:
+def test_events_are_complete_for_any_size_of_chunks(size: int) -> None:
     stream = b"".join(f"id: {n}\ndata: {n}\n\n".encode() for n in range(1, 9))
     splitter = EventSplitter()
-    passed = b"".join(
+    forwarded = b"".join(
         splitter.feed(stream[start : start + size])
         for start in range(0, len(stream), size)
     )
-    assert_that(passed, Equals(stream))
+    assert_that(forwarded, Equals(stream))
     assert_that(splitter.last_event, Equals("8"))
-    assert_that(splitter.has_rest, Is(False))
+    assert_that(splitter.has_partial_event, Is(False))
 
 
-def test_half_an_event_is_kept_back() -> None:
+def test_an_incomplete_event_is_not_forwarded() -> None:
     splitter = EventSplitter()
-    passed = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-    assert_that(passed, Equals(b"id: 1\ndata: a\n\n"))
+    forwarded = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
+    assert_that(forwarded, Equals(b"id: 1\ndata: a\n\n"))
     assert_that(splitter.last_event, Equals("1"))
-    assert_that(splitter.has_rest, Is(True))
+    assert_that(splitter.has_partial_event, Is(True))
 
 
 def test_an_event_that_the_caller_has_already_is_a_fault() -> None:
     splitter = EventSplitter(last_event="4")
-    passed = splitter.feed(b"id: 5\n\nid: 5\n\nid: 6\n\n")
-    assert_that(passed, Equals(b"id: 5\n\n"))
+    forwarded = splitter.feed(b"id: 5\n\nid: 5\n\nid: 6\n\n")
+    assert_that(forwarded, Equals(b"id: 5\n\n"))
     assert_that(splitter.is_faulty, Is(True))
 
 
-def test_repeats_of_all_nodes_stay_within_the_shared_bound() -> None:
+def test_retries_of_all_nodes_stay_within_the_shared_limit() -> None:
     nodes = 9
     budgets = [
-        RepeatBudget(ratio=0.2, slack=136.0, window_s=10.0)
-        for _ in range(nodes)
+        RetryBudget(ratio=0.2, slack=136.0, window_s=10.0) for _ in range(nodes)
     ]
     generator = random.Random(2)
-    repeats: list[float] = []
+    retries: list[float] = []
     requests: list[float] = []
     for step in range(4000):
         now = step * 0.01
         budget = generator.choice(budgets)
-        budget.note_request(now)
+        budget.record_request(now)
         requests.append(now)
         for _ in range(3):
             chosen = generator.choice(budgets)
             chosen.refill(nodes, now)
             if chosen.reserve():
                 chosen.spend()
-                repeats.append(now)
+                retries.append(now)
     for end in range(10, 40):
-        window = [one for one in repeats if end - 10 < one <= end]
-        asked = [one for one in requests if end - 10 < one <= end]
-        assert_that(len(window), LessThan(0.2 * len(asked) + 136 + 1))
-    assert_that(len(repeats), GreaterThan(400))
-
-
-def test_a_group_is_silent_when_none_of_its_streams_moves() -> None:
-    watch = GroupWatch()
-    watch.note_sent("a", 0.0)
-    watch.note_sent("b", 0.0)
-    watch.note_progress(0.1)
-    assert_that(watch.is_silent(LIMITS, 0.25), Is(False))
-    assert_that(watch.is_silent(LIMITS, 0.35), Is(True))
-    watch.note_progress(0.36)
-    assert_that(watch.is_silent(LIMITS, 0.4), Is(False))
-    watch.note_end("a")
-    watch.note_end("b")
-    assert_that(watch.is_silent(LIMITS, 9.0), Is(False))
-
-
-def test_an_idle_time_before_a_stream_is_no_silence() -> None:
-    watch = GroupWatch()
-    watch.note_sent("a", 0.0)
-    watch.note_progress(0.1)
-    watch.note_end("a")
-    watch.note_sent("b", 5.0)
-    assert_that(watch.is_silent(LIMITS, 5.1), Is(False))
-    assert_that(watch.is_silent(LIMITS, 5.6), Is(True))
-
-
-def test_the_bound_of_silence_leaves_time_within_the_longest_pause() -> None:
-    large = bound_silence(ENGINE, pace=LARGE.pace, running=6)
-    small = bound_silence(ENGINE, pace=SMALL.pace, running=6)
-    assert_that(large.between_s, LessThan(0.3))
-    assert_that(small.between_s, LessThan(0.2))
-    full = bound_silence(ENGINE, pace=1.0, running=99)
-    assert_that(full.between_s, GreaterThan(large.between_s))
-
-
-def test_prompts_that_come_at_once_are_given_time_to_be_read() -> None:
-    limits = bound_silence(ENGINE, pace=1.0, running=13)
+        retries_in_window = [at for at in retries if end - 10 < at <= end]
+        requests_in_window = [at for at in requests if end - 10 < at <= end]
+        assert_that(
+            len(retries_in_window),
+            LessThan(0.2 * len(requests_in_window) + 136 + 1),
+        )
+    assert_that(len(retries), GreaterThan(400))
+
+
+def test_a_group_is_stalled_when_none_of_its_streams_progresses() -> None:
+    watch = StallDetector()
+    watch.record_sent("a", 0.0)
+    watch.record_sent("b", 0.0)
+    watch.record_progress(0.1)
+    assert_that(watch.is_stalled(LIMITS, 0.25), Is(False))
+    assert_that(watch.is_stalled(LIMITS, 0.35), Is(True))
+    watch.record_progress(0.36)
+    assert_that(watch.is_stalled(LIMITS, 0.4), Is(False))
+    watch.record_end("a")
+    watch.record_end("b")
+    assert_that(watch.is_stalled(LIMITS, 9.0), Is(False))
+
+
+def test_an_idle_time_before_a_stream_is_no_stall() -> None:
+    watch = StallDetector()
+    watch.record_sent("a", 0.0)
+    watch.record_progress(0.1)
+    watch.record_end("a")
+    watch.record_sent("b", 5.0)
+    assert_that(watch.is_stalled(LIMITS, 5.1), Is(False))
+    assert_that(watch.is_stalled(LIMITS, 5.6), Is(True))
+
+
+def test_the_stall_limit_leaves_time_within_the_longest_pause() -> None:
+    large = compute_stall_limits(ENGINE, pace=LARGE.time_factor, running=6)
+    small = compute_stall_limits(ENGINE, pace=SMALL.time_factor, running=6)
+    assert_that(large.between_events_s, LessThan(0.3))
+    assert_that(small.between_events_s, LessThan(0.2))
+    full = compute_stall_limits(ENGINE, pace=1.0, running=99)
+    assert_that(full.between_events_s, GreaterThan(large.between_events_s))
+
+
+def test_the_stall_limit_allows_for_reading_concurrent_prompts() -> None:
+    limits = compute_stall_limits(ENGINE, pace=1.0, running=13)
     reading_s = 13 * 1076 / 46000
-    watch = GroupWatch()
+    watch = StallDetector()
     for number in range(13):
-        watch.note_sent(str(number), 0.0)
-    assert_that(watch.is_silent(limits, reading_s + 0.15), Is(False))
-    assert_that(watch.is_silent(limits, limits.first_s + 0.01), Is(True))
+        watch.record_sent(str(number), 0.0)
+    assert_that(watch.is_stalled(limits, reading_s + 0.15), Is(False))
+    assert_that(watch.is_stalled(limits, limits.first_event_s + 0.01), Is(True))
 
 
-def test_one_node_claims_when_the_leader_is_silent() -> None:
+def test_one_node_claims_without_contact_with_a_leader() -> None:
     nodes = [
         Leadership(node=f"n{rank}", incarnation="i", now=0.0)
         for rank in range(3)
     ]
-    silence_s = SILENT_INTERVALS * find_interval(3)
-    early = silence_s + STEP_S / 2
+    contact_timeout_s = MISSED_INTERVALS * find_interval(3)
+    early = contact_timeout_s + CLAIM_STAGGER_S / 2
     claims = [
-        one.should_claim(rank, 3, early) for rank, one in enumerate(nodes)
+        node.should_claim(rank, 3, early) for rank, node in enumerate(nodes)
     ]
     assert_that(claims, Equals([True, False, False]))
     claim = Claim(term=5, entry=nodes[0].own_entry)
     for node in nodes:
-        node.note_claim(claim, early)
-    assert_that([one.is_leader for one in nodes], Equals([True, False, False]))
-    later = early + silence_s
+        node.record_claim(claim, early)
+    assert_that(
+        [node.is_leader for node in nodes], Equals([True, False, False])
+    )
+    later = early + contact_timeout_s
     assert_that(nodes[1].should_claim(0, 3, later), Is(False))
 
 
-def test_one_node_replaces_a_leader_that_is_cut_from_the_store() -> None:
+def test_one_node_replaces_a_leader_that_cannot_reach_the_store() -> None:
     nodes = [
         Leadership(node=f"n{rank}", incarnation="i", now=0.0)
         for rank in range(3)
     ]
     for node in nodes:
-        node.note_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
-        node.note_announcement(5, lost_after_s=1.0, is_ending=True, now=0.1)
+        node.record_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
+        node.record_announcement(
+            5, lost_after_s=1.0, is_stepping_down=True, now=0.1
+        )
     claims = [
-        one.should_claim(rank, 3, 0.1 + STEP_S / 2)
-        for rank, one in enumerate(nodes)
+        node.should_claim(rank, 3, 0.1 + CLAIM_STAGGER_S / 2)
+        for rank, node in enumerate(nodes)
     ]
     assert_that(claims, Equals([True, False, False]))
     for node in nodes:
-        node.note_claim(Claim(6, nodes[0].own_entry), 0.2)
+        node.record_claim(Claim(6, nodes[0].own_entry), 0.2)
     assert_that(nodes[1].should_claim(1, 3, 0.6), Is(False))
 
 
-def test_any_node_replaces_a_leader_that_goes_on_saying_that_it_stops() -> None:
-    # The leader speaks each 0.25 s; the first three nodes are lost as well.
+def test_any_node_replaces_a_leader_that_keeps_announcing_its_stop() -> None:
+    # The leader announces each 0.25 s; the first three nodes are lost as well.
     node = Leadership(node="n", incarnation="i", now=0.0)
-    node.note_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
+    node.record_claim(Claim(5, LeaderEntry("m", "j")), 0.0)
     claimed = None
     for step in range(40):
         now = step * 0.05
         if step % 5 == 0:
-            node.note_announcement(
-                5, lost_after_s=0.75, is_ending=True, now=now
+            node.record_announcement(
+                5, lost_after_s=0.75, is_stepping_down=True, now=now
             )
         if claimed is None and node.should_claim(3, 9, now):
             claimed = now
     assert claimed is not None
-    assert_that(claimed, LessThan(3 * STEP_S + 0.06))
+    assert_that(claimed, LessThan(3 * CLAIM_STAGGER_S + 0.06))
 
 
 def test_a_leader_whose_process_was_replaced_is_lost_at_once() -> None:
     leadership = Leadership(node="n", incarnation="i", now=0.0)
-    leadership.note_claim(Claim(5, LeaderEntry("m", "old")), 0.0)
-    leadership.note_node(LeaderEntry("o", "new"), 0.01)
+    leadership.record_claim(Claim(5, LeaderEntry("m", "old")), 0.0)
+    leadership.record_node(LeaderEntry("o", "new"), 0.01)
     assert_that(leadership.should_claim(0, 3, 0.02), Is(False))
-    leadership.note_node(LeaderEntry("m", "new"), 0.02)
+    leadership.record_node(LeaderEntry("m", "new"), 0.02)
     assert_that(leadership.should_claim(0, 3, 0.03), Is(True))
 
 
-def test_a_claim_with_a_lower_term_is_passed_over() -> None:
+def test_a_claim_with_a_lower_term_is_ignored() -> None:
     leadership = Leadership(node="n", incarnation="i", now=0.0)
-    leadership.note_claim(Claim(7, LeaderEntry("m", "j")), 0.0)
-    is_new = leadership.note_claim(Claim(6, leadership.own_entry), 0.0)
+    leadership.record_claim(Claim(7, LeaderEntry("m", "j")), 0.0)
+    is_new = leadership.record_claim(Claim(6, leadership.own_entry), 0.0)
     assert_that(is_new, Is(False))
     assert_that(leadership.is_leader, Is(False))
 
 
-def test_a_restarted_process_does_not_take_itself_for_the_leader() -> None:
+def test_a_restarted_process_is_not_the_leader_by_its_former_claim() -> None:
     leadership = Leadership(node="n", incarnation="new", now=0.0)
-    leadership.note_claim(Claim(7, LeaderEntry("n", "old")), 0.0)
+    leadership.record_claim(Claim(7, LeaderEntry("n", "old")), 0.0)
     assert_that(leadership.is_leader, Is(False))
 
 
-def test_names_of_groups_tell_their_model() -> None:
+def test_names_of_groups_contain_their_model() -> None:
     epoch = groupnames.make_epoch(3, 12)
     name = groupnames.make_name("m.x", epoch, is_standby=True)
     parsed = groupnames.parse_name(name)
@@ -405,32 +411,34 @@
         (False, False, 0.0, 0.0),
     ],
 )
-def test_a_request_waits_only_for_a_place_that_may_come(
+def test_a_request_waits_only_for_a_slot_that_may_become_available(
     has_endpoints: bool, is_forming: bool, shortest: float, longest: float
 ) -> None:
-    wait = Wait(Standing.ON_TIME, limit_s=6.0, on_time_s=0.25, gives_up_s=1.8)
-    prospect = Prospect(has_endpoints=has_endpoints, is_forming=is_forming)
-    patience = decide_patience(wait, prospect, draw=0.5)
+    wait = WaitingRequest(
+        Timeliness.ON_TIME, limit_s=6.0, on_time_s=0.25, gives_up_s=1.8
+    )
+    prospect = Availability(has_endpoints=has_endpoints, is_forming=is_forming)
+    patience = decide_wait(wait, prospect, draw=0.5)
     assert_that(patience.wait_s >= shortest, Is(True))
     assert_that(patience.wait_s <= longest, Is(True))
     assert_that(patience.retry_after_s, GreaterThan(0.0))
 
 
-def test_the_time_without_a_leader_counts_from_its_silence_or_notice() -> None:
+def test_the_time_without_a_leader_counts_from_its_loss_or_notice() -> None:
     leadership = Leadership(node="n", incarnation="i", now=0.0)
     claim = Claim(5, LeaderEntry("m", "j"))
-    leadership.note_claim(claim, 1.0)
+    leadership.record_claim(claim, 1.0)
 
-    def hear(now: float, *, is_ending: bool) -> None:
-        leadership.note_announcement(
-            5, lost_after_s=0.75, is_ending=is_ending, now=now
+    def announce(now: float, *, is_stepping_down: bool) -> None:
+        leadership.record_announcement(
+            5, lost_after_s=0.75, is_stepping_down=is_stepping_down, now=now
         )
 
-    hear(2.0, is_ending=False)
-    assert_that(leadership.find_unled(2.7), Equals(0.0))
-    assert_that(leadership.find_unled(3.0), Equals(0.25))
-    hear(3.0, is_ending=True)
-    hear(3.5, is_ending=True)
-    assert_that(leadership.find_unled(3.6), Equals(3.6 - 3.0))
-    hear(4.0, is_ending=False)
-    assert_that(leadership.find_unled(4.1), Equals(0.0))
+    announce(2.0, is_stepping_down=False)
+    assert_that(leadership.find_leaderless_s(2.7), Equals(0.0))
+    assert_that(leadership.find_leaderless_s(3.0), Equals(0.25))
+    announce(3.0, is_stepping_down=True)
+    announce(3.5, is_stepping_down=True)
+    assert_that(leadership.find_leaderless_s(3.6), Equals(3.6 - 3.0))
+    announce(4.0, is_stepping_down=False)
+    assert_that(leadership.find_leaderless_s(4.1), Equals(0.0))
--- a/test/decisions/serving/test_entries.py
+++ b/test/decisions/serving/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of servers from a store that came back from a copy."""
+"""Entries of servers from a store that was restored from a backup."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -9,7 +9,7 @@
 from chervilrock.decisions.serving.terms import make_term, OFFSETS_PER_ERA
 
 
-def make_entry(writes: int, *, born: int = 7, is_leaving: bool = False):
+def make_entry(writes: int, *, started_ms: int = 7, is_leaving: bool = False):
     return BackendServer(
         server="i-1",
         service="desk",
@@ -20,7 +20,7 @@
         slots=4,
         staged=(),
         membership=None,
-        born=born,
+        started_ms=started_ms,
         writes=writes,
     )
 
@@ -28,38 +28,42 @@
 @pytest.fixture
 def entries() -> NewestEntries:
     entries = NewestEntries()
-    entries.take(make_entry(5, is_leaving=True))
+    entries.update(make_entry(5, is_leaving=True))
     return entries
 
 
-def test_a_server_that_leaves_is_not_ready_again(
+def test_an_older_entry_does_not_make_a_leaving_server_ready(
     entries: NewestEntries,
 ) -> None:
-    entries.note_copy()
-    assert_that(entries.take(make_entry(4)).is_leaving, Is(True))
+    entries.record_restore()
+    assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
 
 
-def test_a_server_is_known_though_it_was_gone(entries: NewestEntries) -> None:
-    entries.note_gone("i-1")
+def test_the_last_entry_of_a_server_that_is_gone_is_kept(
+    entries: NewestEntries,
+) -> None:
+    entries.record_gone("i-1")
     assert_that(list(entries.list_present()), HasLength(0))
-    entries.note_copy()
-    assert_that(entries.take(make_entry(4)).is_leaving, Is(True))
+    entries.record_restore()
+    assert_that(entries.update(make_entry(4)).is_leaving, Is(True))
 
 
 @pytest.mark.parametrize(
     "entry",
-    [make_entry(6), make_entry(1, born=8), make_entry(1, born=0)],
-    ids=["written again", "started again", "does not tell its start"],
+    [make_entry(6), make_entry(1, started_ms=8), make_entry(1, started_ms=0)],
+    ids=["written again", "started again", "does not report its start"],
 )
-def test_what_is_newer_counts(
+def test_an_entry_that_may_be_newer_replaces_the_known_one(
     entries: NewestEntries, entry: BackendServer
 ) -> None:
-    entries.note_copy()
-    assert_that(entries.take(entry).is_leaving, Is(False))
+    entries.record_restore()
+    assert_that(entries.update(entry).is_leaving, Is(False))
 
 
-def test_order_matters_only_after_a_copy(entries: NewestEntries) -> None:
-    assert_that(entries.take(make_entry(4)).is_leaving, Is(False))
+def test_write_counts_are_compared_only_after_a_restore(
+    entries: NewestEntries,
+) -> None:
+    assert_that(entries.update(make_entry(4)).is_leaving, Is(False))
 
 
 def test_a_claim_of_a_later_era_is_newer_than_all_before() -> None:
--- a/test/decisions/serving/test_lateness.py
+++ b/test/decisions/serving/test_lateness.py
@@ -1,4 +1,4 @@
-"""How requests stand after their callers have waited."""
+"""Timeliness of requests, and waits before retries."""
 
 import random
 
@@ -7,8 +7,8 @@
 from testtools.matchers import Equals, Is
 
 from chervilrock.decisions.serving.lateness import (
-    judge_standing,
-    Standing,
+    judge_timeliness,
+    Timeliness,
     UsualLimits,
 )
 from chervilrock.decisions.serving.placement import (
@@ -23,33 +23,33 @@
 
 
 def make_limits(count: int) -> list[float]:
-    """Return time limits of callers who come first; they differ somewhat."""
+    """Return time limits of first attempts, which differ slightly."""
     generator = random.Random(2)
     return [generator.uniform(0.85, 1.0) * LIMIT_S for _ in range(count)]
 
 
 @pytest.mark.parametrize(
-    ("has_begun", "waited_s", "standing"),
+    ("has_begun", "waited_s", "expected"),
     [
-        (False, 0.1, Standing.ON_TIME),
-        (False, 0.3, Standing.LATE),
-        (True, 3.0, Standing.BEGUN),
+        (False, 0.1, Timeliness.ON_TIME),
+        (False, 0.3, Timeliness.LATE),
+        (True, 3.0, Timeliness.BEGUN),
     ],
 )
-def test_a_request_stands_by_what_its_caller_has(
-    has_begun: bool, waited_s: float, standing: Standing
+def test_timeliness_depends_on_events_and_time_waited(
+    has_begun: bool, waited_s: float, expected: Timeliness
 ) -> None:
-    judged = judge_standing(
+    judged = judge_timeliness(
         has_begun=has_begun, waited_s=waited_s, target_s=0.3
     )
-    assert_that(judged, Is(standing))
+    assert_that(judged, Is(expected))
 
 
 @pytest.mark.parametrize("known", [0, 4, 64])
-def test_callers_who_come_first_have_not_waited(known: int) -> None:
+def test_first_attempts_have_no_previous_wait(known: int) -> None:
     usual = UsualLimits()
     for limit_s in make_limits(known):
-        usual.note("r", limit_s)
+        usual.record("r", limit_s)
     waits = [
         usual.estimate_wait("r", limit_s, LIMIT_S)
         for limit_s in make_limits(300)
@@ -57,8 +57,9 @@
     assert_that(max(waits), Equals(0.0))
 
 
-def test_callers_who_come_back_after_an_outage_are_known() -> None:
-    # They were away for two seconds, and a node has just started.
+def test_retries_after_an_outage_are_recognized_as_late() -> None:
+    # The callers waited for two seconds of an outage, and the node has just
+    # started.
     usual = UsualLimits()
     late = 0
     for limit_s in make_limits(100):
@@ -68,46 +69,46 @@
     assert_that(late, Equals(100))
 
 
-def test_limits_of_one_route_say_nothing_of_another() -> None:
+def test_limits_of_one_route_do_not_affect_another() -> None:
     usual = UsualLimits()
     for _ in range(64):
-        usual.note("long", 60.0)
+        usual.record("long", 60.0)
     assert_that(usual.estimate_wait("short", 5.5, LIMIT_S), Equals(0.0))
 
 
-def test_a_cut_stream_takes_a_place_that_a_new_request_does_not() -> None:
-    # All groups of a model run as many requests as they have slots.
-    full = Load(own=2, others=7, slots=9, is_doubtful=False)
-    cut = find_group_bound(Standing.BEGUN, nodes=7)
+def test_an_interrupted_stream_may_exceed_the_bound_of_new_requests() -> None:
+    # All slots of the groups of a model are busy.
+    full = Load(own=2, others=7, slots=9, is_deprioritized=False)
+    cut = find_group_bound(Timeliness.BEGUN, nodes=7)
     assert_that(cut == BEGUN_BOUND, Is(True))
     assert_that(cut.allows(full), Is(True))
     assert_that(GROUP_BOUND.allows(full), Is(False))
 
 
-def test_a_late_request_takes_any_place_after_a_while() -> None:
-    filled = Load(own=0, others=8, slots=9, is_doubtful=False)
-    early = find_group_bound(Standing.LATE, nodes=7)
-    later = find_group_bound(Standing.LATE, nodes=7, waited_s=LATE_PATIENCE_S)
+def test_a_late_request_gets_any_free_slot_after_a_while() -> None:
+    filled = Load(own=0, others=8, slots=9, is_deprioritized=False)
+    early = find_group_bound(Timeliness.LATE, nodes=7)
+    later = find_group_bound(Timeliness.LATE, nodes=7, waited_s=LATE_PATIENCE_S)
     assert_that(early.allows(filled), Is(False))
     assert_that(later.allows(filled), Is(True))
 
 
-def test_no_late_request_takes_a_place_that_one_on_time_lacks() -> None:
-    filled = Load(own=0, others=8, slots=9, is_doubtful=False)
+def test_a_late_request_gets_no_slot_during_a_shortage() -> None:
+    filled = Load(own=0, others=8, slots=9, is_deprioritized=False)
     bound = find_group_bound(
-        Standing.LATE, nodes=7, waited_s=5.0, is_short=True
+        Timeliness.LATE, nodes=7, waited_s=5.0, has_shortage=True
     )
     assert_that(bound.allows(filled), Is(False))
 
 
 def test_a_request_is_late_when_its_first_event_cannot_be_in_time() -> None:
-    def judge(first_event_s: float) -> Standing:
-        return judge_standing(
+    def judge(first_event_s: float) -> Timeliness:
+        return judge_timeliness(
             has_begun=False,
             waited_s=0.1,
             target_s=0.3,
             first_event_s=first_event_s,
         )
 
-    assert_that(judge(0.15), Is(Standing.ON_TIME))
-    assert_that(judge(0.25), Is(Standing.LATE))
+    assert_that(judge(0.15), Is(Timeliness.ON_TIME))
+    assert_that(judge(0.25), Is(Timeliness.LATE))
--- a/test/decisions/serving/test_waiting.py
+++ b/test/decisions/serving/test_waiting.py
@@ -1,4 +1,4 @@
-"""How long requests without a place wait, and when callers come back."""
+"""How long requests without a slot wait, and when callers retry."""
 
 import math
 
@@ -6,26 +6,30 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from chervilrock.decisions.serving.lateness import Standing
+from chervilrock.decisions.serving.lateness import Timeliness
 from chervilrock.decisions.serving.waiting import (
-    decide_patience,
+    Availability,
+    decide_wait,
     find_give_up,
-    LONGEST_RETRY_AFTER_S,
-    Patience,
-    Prospect,
+    MAX_RETRY_AFTER_S,
     REPAIR_S,
-    SPREAD,
-    Wait,
+    RETRY_AFTER_JITTER,
+    WaitDecision,
+    WaitingRequest,
 )
 
-FULL = Prospect(has_endpoints=True, is_forming=False)
-SHORT = FULL._replace(short_s=2.0 * REPAIR_S)
-NEW = Wait(Standing.ON_TIME, limit_s=4.0, on_time_s=0.15, gives_up_s=1.7)
-LATE = NEW._replace(standing=Standing.LATE, on_time_s=-0.1)
+FULL = Availability(has_endpoints=True, is_forming=False)
+SHORTAGE = FULL._replace(shortage_s=2.0 * REPAIR_S)
+NEW = WaitingRequest(
+    Timeliness.ON_TIME, limit_s=4.0, on_time_s=0.15, gives_up_s=1.7
+)
+LATE = NEW._replace(timeliness=Timeliness.LATE, on_time_s=-0.1)
 
 
-def decide(wait: Wait, prospect: Prospect, draw: float = 0.5) -> Patience:
-    return decide_patience(wait, prospect, draw)
+def decide(
+    request: WaitingRequest, availability: Availability, draw: float = 0.5
+) -> WaitDecision:
+    return decide_wait(request, availability, draw)
 
 
 def test_a_new_request_waits_while_it_can_be_on_time() -> None:
@@ -35,45 +39,47 @@
 def test_a_late_request_waits_longer_than_a_new_one() -> None:
     late = decide(LATE, FULL).wait_s
     assert_that(late, GreaterThan(decide(NEW, FULL).wait_s))
-    begun = decide(NEW._replace(standing=Standing.BEGUN), FULL)
+    begun = decide(NEW._replace(timeliness=Timeliness.BEGUN), FULL)
     assert_that(begun.wait_s, GreaterThan(1.0))
 
 
-@pytest.mark.parametrize("standing", Standing)
-def test_nothing_waits_for_a_model_that_no_group_will_serve(standing) -> None:
-    nothing = Prospect(has_endpoints=False, is_forming=False)
-    wait = NEW._replace(standing=standing)
-    assert_that(decide(wait, nothing).wait_s, Equals(0.0))
+@pytest.mark.parametrize("timeliness", Timeliness)
+def test_nothing_waits_for_a_model_that_no_group_will_serve(timeliness) -> None:
+    nothing = Availability(has_endpoints=False, is_forming=False)
+    request = NEW._replace(timeliness=timeliness)
+    assert_that(decide(request, nothing).wait_s, Equals(0.0))
 
 
 def test_no_request_waits_longer_than_its_caller() -> None:
-    # Callers leave two seconds after they came when they have no event by then.
-    left = LATE._replace(limit_s=60.0)
-    assert_that(decide(left, FULL).wait_s, Equals(left.gives_up_s))
-    gone = LATE._replace(gives_up_s=-0.2)
-    assert_that(decide(gone, FULL).wait_s, Equals(0.0))
+    # Callers without an event give up two seconds after they sent the request.
+    late = LATE._replace(limit_s=60.0)
+    assert_that(decide(late, FULL).wait_s, Equals(late.gives_up_s))
+    given_up = LATE._replace(gives_up_s=-0.2)
+    assert_that(decide(given_up, FULL).wait_s, Equals(0.0))
 
 
-def test_a_caller_is_told_at_once_when_places_are_short_for_long() -> None:
-    told = decide(LATE, SHORT)
-    assert_that(told.wait_s, Equals(0.0))
-    assert_that(told.retry_after_s, Equals(SHORT.short_s))
+def test_a_late_request_is_rejected_at_once_during_a_long_shortage() -> None:
+    decision = decide(LATE, SHORTAGE)
+    assert_that(decision.wait_s, Equals(0.0))
+    assert_that(decision.retry_after_s, Equals(SHORTAGE.shortage_s))
 
 
-def test_a_request_waits_for_a_group_that_forms_however_long_it_took() -> None:
-    forming = SHORT._replace(has_endpoints=False, is_forming=True)
+def test_a_request_waits_for_a_forming_group_despite_a_long_shortage() -> None:
+    forming = SHORTAGE._replace(has_endpoints=False, is_forming=True)
     assert_that(decide(LATE, forming).wait_s, Equals(LATE.gives_up_s))
 
 
-def test_callers_who_were_refused_together_do_not_return_together() -> None:
-    long_short = SHORT._replace(short_s=100.0)
+def test_callers_that_are_rejected_together_do_not_retry_together() -> None:
+    long_shortage = SHORTAGE._replace(shortage_s=100.0)
     times = [
-        decide(LATE, long_short, draw).retry_after_s for draw in (0.0, 0.5, 1.0)
+        decide(LATE, long_shortage, draw).retry_after_s
+        for draw in (0.0, 0.5, 1.0)
     ]
-    assert_that(times[1], Equals(LONGEST_RETRY_AFTER_S))
+    assert_that(times[1], Equals(MAX_RETRY_AFTER_S))
     assert_that(times[0], LessThan(times[1]))
     assert_that(
-        times[2] - times[0], Equals(2.0 * SPREAD * LONGEST_RETRY_AFTER_S)
+        times[2] - times[0],
+        Equals(2.0 * RETRY_AFTER_JITTER * MAX_RETRY_AFTER_S),
     )
 
 
@@ -87,32 +93,32 @@
     assert_that(find_give_up(target_s, pause_s), Equals(give_up_s))
 
 
-NEVER = FULL._replace(limited_s=math.inf)
-SOON = FULL._replace(limited_s=0.1)
+NEVER = FULL._replace(limit_wait_s=math.inf)
+SOON = FULL._replace(limit_wait_s=0.1)
 
 
-def test_a_request_waits_for_a_send_that_limited_servers_allow_in_time() -> (
-    None
-):
+def test_a_request_waits_for_limited_servers_that_allow_it_in_time() -> None:
     assert_that(decide(NEW, SOON), Equals(decide(NEW, FULL)))
-    begun = NEW._replace(standing=Standing.BEGUN)
-    later = FULL._replace(limited_s=1.0)
+    begun = NEW._replace(timeliness=Timeliness.BEGUN)
+    later = FULL._replace(limit_wait_s=1.0)
     assert_that(decide(begun, later), Equals(decide(begun, FULL)))
 
 
-@pytest.mark.parametrize("standing", Standing)
-def test_no_request_waits_where_limited_servers_get_nothing(standing) -> None:
-    told = decide(NEW._replace(standing=standing), NEVER)
-    assert_that(told.wait_s, Equals(0.0))
-    assert_that(told.retry_after_s, GreaterThan(0.0))
+@pytest.mark.parametrize("timeliness", Timeliness)
+def test_no_request_waits_for_servers_that_this_node_may_not_use(
+    timeliness,
+) -> None:
+    decision = decide(NEW._replace(timeliness=timeliness), NEVER)
+    assert_that(decision.wait_s, Equals(0.0))
+    assert_that(decision.retry_after_s, GreaterThan(0.0))
 
 
-def test_late_requests_leave_the_sends_to_limited_servers_to_others() -> None:
+def test_late_requests_do_not_wait_for_limited_servers() -> None:
     assert_that(decide(LATE, SOON).wait_s, Equals(0.0))
 
 
-def test_a_caller_comes_back_when_limited_servers_take_one_again() -> None:
-    later = FULL._replace(limited_s=3.0)
+def test_a_caller_retries_when_limited_servers_accept_a_request() -> None:
+    later = FULL._replace(limit_wait_s=3.0)
     assert_that(decide(NEW, later).retry_after_s, Equals(3.0))
-    far = FULL._replace(limited_s=60.0)
-    assert_that(decide(NEW, far).retry_after_s, Equals(LONGEST_RETRY_AFTER_S))
+    far = FULL._replace(limit_wait_s=60.0)
+    assert_that(decide(NEW, far).retry_after_s, Equals(MAX_RETRY_AFTER_S))
--- a/test/history/mutations.py
+++ b/test/history/mutations.py
@@ -5,7 +5,7 @@
 from chervilrock.decisions.configurations import ConfigurationFold
 from chervilrock.decisions.presence import PresenceTable
 from chervilrock.decisions.requests import outcomes
-from chervilrock.decisions.requests.memory import ClaimKind, RunMemory
+from chervilrock.decisions.requests.runregistry import ClaimKind, RunRegistry
 from chervilrock.edges.relay import BackendRequest, Receiver, Transfer
 from chervilrock.edges.sinks import CallerSink
 from chervilrock.generated.interfaces import Outcome
@@ -38,7 +38,7 @@
 
 def forget_runs():
     """Run whatever a ticket is shown for, once it has run."""
-    original = RunMemory.find
+    original = RunRegistry.find
 
     def find(self, name, fingerprint):
         claim = original(self, name, fingerprint)
@@ -46,7 +46,7 @@
             return None
         return claim
 
-    return mock.patch.object(RunMemory, "find", find)
+    return mock.patch.object(RunRegistry, "find", find)
 
 
 def deny_runs():
@@ -60,11 +60,11 @@
     """End a broken stream without an error."""
     original = CallerSink.fail
 
-    def fail(self, error, *, may_repeat):
+    def fail(self, error, *, may_retry):
         if self.started and not self._closed:
             self.finish()
         else:
-            original(self, error, may_repeat=may_repeat)
+            original(self, error, may_retry=may_retry)
 
     return mock.patch.object(CallerSink, "fail", fail)
 
--- a/test/platform/test_adapter.py
+++ b/test/platform/test_adapter.py
@@ -11,7 +11,7 @@
 
 from chervilrock.clients.httpclient import HttpAnswer
 from chervilrock.clients.serving import Topic
-from chervilrock.decisions.serving.messages import Onward, StatedLimit
+from chervilrock.decisions.serving.messages import ForwardedFields, StatedLimit
 from chervilrock.decisions.serving.orders import Close, Join, Leave, Open
 from chervilrock.decisions.serving.site import (
     Membership,
@@ -22,7 +22,7 @@
 from chervilrock.platform.engines import encode_order
 from chervilrock.platform.headers import (
     make_caller_headers,
-    make_onward_headers,
+    make_forwarded_headers,
     read_answer,
     read_request,
 )
@@ -102,8 +102,8 @@
     assert_that(draft.is_resumable, Is(True))
     assert_that(draft.longest_pause_s, Equals(0.3))
     assert_that(book.kind, Is(RouteKind.ONCE))
-    assert_that(book.may_repeat, Is(False))
-    assert_that(look.may_repeat, Is(True))
+    assert_that(book.may_retry, Is(False))
+    assert_that(look.may_retry, Is(True))
     assert configuration.keys is not None
     assert_that(configuration.keys["key-one"].name, Equals("brokers"))
     engine = configuration.services["drafts"].engine
@@ -177,7 +177,7 @@
     assert_that(server.domain, Equals("3"))
     wanted = Membership("g", 7, 1, MemberState.OPEN)
     assert_that(server.membership == wanted, Is(True))
-    assert_that(server.born, Equals(1_700_000_000_123))
+    assert_that(server.started_ms, Equals(1_700_000_000_123))
 
 
 @pytest.mark.parametrize(
@@ -320,8 +320,8 @@
         ("X-Model", "m"),
         ("Last-Event-Id", "3"),
     ]
-    onward = Onward("i-1", "brokers", 1.25, "7", 2)
-    sent = make_onward_headers(pairs, onward)
+    forwarded = ForwardedFields("i-1", "brokers", 1.25, "7", 2)
+    sent = make_forwarded_headers(pairs, forwarded)
     assert_that(
         dict(sent),
         Equals(
--- /dev/null
+++ b/test/tasks/test_poisondetector.py
@@ -0,0 +1,207 @@
+"""How one node handles sends whose connections broke."""
+
+from collections.abc import Callable
+import random
+from typing import Any
+
+import pytest
+from testtools.assertions import assert_that
+from testtools.matchers import Equals, HasLength, Is
+
+from chervilrock.decisions.serving.suspects import CrashReport, ServerCrash
+from chervilrock.decisions.serving.view import NodeEntry
+from chervilrock.tasks.serving.messages import (
+    CrashReportAnswered,
+    ServerChecked,
+)
+from chervilrock.tasks.serving.poisondetector import (
+    BrokenSend,
+    FOLLOWER_SETTLE_S,
+    PoisonDetector,
+)
+from chervilrock.tasks.serving.state import RetryBounds, ServingState
+
+CONTENT = "brokers/0123456789abcdef"
+NOW = 100.0
+
+
+def make_node(name: str) -> NodeEntry:
+    return NodeEntry(name, f"{name}-1", f"{name}:1", f"{name}:2", "a")
+
+
+OWN = make_node("own")
+LEADER = make_node("leader")
+OTHER = make_node("other")
+
+
+class RecordedCalls:
+    """Stands in for the calls of a node and records them."""
+
+    def __init__(self) -> None:
+        self.checked: list[str] = []
+        self.reports: list[tuple[str, CrashReport]] = []
+        self.written: list[tuple[str, bool]] = []
+
+    def check_server(self, server: str, address: str) -> None:
+        del address
+        self.checked.append(server)
+
+    def send_crash_report(self, entry: NodeEntry, report: CrashReport) -> None:
+        self.reports.append((entry.node, report))
+
+    def write_suspect(self, content: str, suspect: object) -> None:
+        self.written.append((content, suspect is not None))
+
+
+@pytest.fixture
+def calls() -> RecordedCalls:
+    return RecordedCalls()
+
+
+@pytest.fixture
+def state() -> ServingState:
+    state = ServingState(
+        own=OWN,
+        bounds=RetryBounds(ratio=0.2, slack=100, window_s=10.0),
+        generator=random.Random(1),
+    )
+    state.known_nodes = {entry.node: entry for entry in (OWN, LEADER, OTHER)}
+    return state
+
+
+@pytest.fixture
+def poisondetector(calls: RecordedCalls, state: ServingState) -> PoisonDetector:
+    outbound: Any = calls
+    return PoisonDetector(state=state, outbound=outbound)
+
+
+Act = Callable[..., bool]
+
+
+@pytest.fixture
+def act(poisondetector: PoisonDetector) -> Act:
+    """Run the periodic work of a follower that has contact with its leader."""
+
+    def run(now: float, **changes: Any) -> bool:
+        options: dict[str, Any] = {
+            "term": None,
+            "leader": LEADER,
+            "reaches_store": True,
+        }
+        return poisondetector.act(now, **(options | changes))
+
+    return run
+
+
+def break_send(
+    poisondetector: PoisonDetector, server: str, now: float = NOW
+) -> None:
+    poisondetector.record_broken(
+        BrokenSend(CONTENT, server, "x:1", 0.0, 0.1), now
+    )
+
+
+def crash_server(
+    poisondetector: PoisonDetector, server: str, now: float = NOW
+) -> None:
+    break_send(poisondetector, server, now)
+    poisondetector.record_checked(ServerChecked(server, False), now)
+
+
+def test_a_broken_send_to_a_live_server_is_no_crash(
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
+) -> None:
+    for _ in range(2):
+        break_send(poisondetector, "s1")
+    assert_that(calls.checked, Equals(["s1"]))
+    poisondetector.record_checked(ServerChecked("s1", True), NOW)
+    act(NOW)
+    assert_that(poisondetector.count_crashes(CONTENT), Equals(0))
+    assert_that(calls.reports, HasLength(0))
+
+
+def test_a_send_to_a_server_that_had_crashed_before_does_not_count(
+    poisondetector: PoisonDetector,
+) -> None:
+    poisondetector.record_broken(BrokenSend("a/b", "s1", "x:1", 0.0, 0.1), NOW)
+    poisondetector.record_checked(ServerChecked("s1", False), NOW)
+    break_send(poisondetector, "s1", NOW + 0.05)
+    assert_that(poisondetector.count_crashes(CONTENT), Equals(1))
+    poisondetector.record_broken(
+        BrokenSend("a/c", "s1", "x:1", 0.0, 0.1), NOW + 0.5
+    )
+    assert_that(poisondetector.count_crashes("a/c"), Equals(0))
+
+
+def test_each_crash_is_reported_to_the_leader_once(
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
+) -> None:
+    crash_server(poisondetector, "s1")
+    act(NOW)
+    act(NOW + 0.05)
+    ((node, report),) = calls.reports
+    assert_that(node, Equals("leader"))
+    poisondetector.record_answered(
+        CrashReportAnswered(LEADER.incarnation, report, True), NOW + 0.1
+    )
+    act(NOW + 0.5)
+    assert_that(calls.reports, HasLength(1))
+
+
+def test_all_crashes_are_reported_to_a_new_leader(
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
+) -> None:
+    crash_server(poisondetector, "s1")
+    act(NOW)
+    poisondetector.record_answered(
+        CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], True), NOW
+    )
+    act(NOW + 1.0, leader=OTHER)
+    node, report = calls.reports[-1]
+    assert_that(node, Equals("other"))
+    assert_that([content for content, _ in report.crashes], Equals([CONTENT]))
+
+
+def test_crashes_are_reported_to_all_nodes_if_the_leader_does_not_answer(
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
+) -> None:
+    crash_server(poisondetector, "s1")
+    act(NOW)
+    poisondetector.record_answered(
+        CrashReportAnswered(LEADER.incarnation, calls.reports[0][1], False), NOW
+    )
+    receivers = [node for node, _ in calls.reports[1:]]
+    assert_that(sorted(receivers), Equals(["leader", "other"]))
+    act(NOW + 0.05)
+    assert_that(calls.reports, HasLength(3))
+
+
+def test_nodes_withhold_a_poison_request_without_a_leader(
+    poisondetector: PoisonDetector,
+    calls: RecordedCalls,
+    state: ServingState,
+    act: Act,
+) -> None:
+    crash_server(poisondetector, "s1")
+    crash_server(poisondetector, "s2")
+    act(NOW, leader=None)
+    assert_that(calls.reports, HasLength(2))
+    crash = ServerCrash("s3", "other", 0.0, 0.1)
+    poisondetector.record_report(CrashReport(((CONTENT, crash),)), NOW + 0.1)
+    later = NOW + 0.1 + 2 * FOLLOWER_SETTLE_S
+    assert_that(act(later, leader=None), Is(True))
+    assert_that(state.suspects.count_withheld(), Equals(1))
+
+
+def test_a_leader_writes_withheld_requests_to_the_store(
+    poisondetector: PoisonDetector, calls: RecordedCalls, act: Act
+) -> None:
+    for server in ("s1", "s2", "s3"):
+        crash_server(poisondetector, server)
+    act(NOW, term=7)
+    act(NOW + 1.0, term=7, reaches_store=False)
+    assert_that(calls.written, HasLength(0))
+    act(NOW + 1.0, term=7)
+    act(NOW + 1.1, term=7)
+    assert_that(calls.written, Equals([(CONTENT, True)]))
+    assert_that(calls.reports, HasLength(0))
