--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -507,7 +507,7 @@
         self._log_end(end.value, status)
 
     def _fail(self, status: int, reason: str) -> None:
-        """End a request that may have run with an error answer."""
+        """Abort the answer or send an error; the request may have run."""
         if self._connection.has_begun:
             self._connection.abort()
         else:
--- a/chervilrock/edges/serving/suspectcheck.py
+++ b/chervilrock/edges/serving/suspectcheck.py
@@ -43,7 +43,7 @@
         self._is_broken = False
 
     def admit(self, workspace: Workspace | None) -> None:
-        """Record the workspace; comes before all other calls."""
+        """Record the workspace; must be called before the other methods."""
         self._workspace = "" if workspace is None else workspace.name
 
     def find_withheld(self) -> Suspect | None:
@@ -57,7 +57,7 @@
         """Wait before a send for the verdict whether to withhold the request.
 
         After a broken connection, MIN_ANNOUNCED_CRASHES earlier crashes are
-        enough to wait; otherwise it takes MAX_CRASHES.
+        enough to wait; otherwise MAX_CRASHES are required.
         """
         if self._poisondetector.is_empty():
             return
--- a/test/node/test_server_limits.py
+++ b/test/node/test_server_limits.py
@@ -1,4 +1,4 @@
-"""Servers that announce a limit of requests a second from all nodes."""
+"""Servers that limit the requests a second from all nodes together."""
 
 import asyncio
 import itertools
