--- a/chervilrock/node/__init__.py
+++ b/chervilrock/node/__init__.py
@@ -1,4 +1,4 @@
-"""An entry node, assembled from tasks and edges."""
+"""An entry node, assembled from its tasks and request handlers."""
 
 import asyncio
 import signal
@@ -8,7 +8,7 @@
 
 __all__ = ["EntryNode", "run"]
 
-_FAILED = 1
+_EXIT_FAILURE = 1
 
 
 async def run(settings: NodeSettings) -> int:
@@ -28,6 +28,6 @@
         wait.cancel()
     if node.failed.is_set():
         await node.kill()
-        return _FAILED
+        return _EXIT_FAILURE
     await node.stop()
     return 0
--- a/chervilrock/node/binding.py
+++ b/chervilrock/node/binding.py
@@ -1,4 +1,4 @@
-"""Sockets that listen."""
+"""Listening sockets."""
 
 import socket
 from typing import NamedTuple
@@ -6,27 +6,27 @@
 from tornado import netutil
 
 BACKLOG = 512
-"""New connections that wait for the process; when there are more, their first
-packet is lost and comes again after a second."""
+"""Connections that may wait to be accepted. When there are more, the SYN packet
+is dropped and the client sends it again after a second."""
 
 
 class Binding(NamedTuple):
-    """Sockets that listen, and the address that others use."""
+    """Listening sockets and the address that other processes connect to."""
 
     sockets: list[socket.socket]
     address: str
 
 
 def bind_address(ip: str, port: int, advertised: str = "") -> Binding:
-    """Listen on an address; port 0 takes any free one.
+    """Listen on an address; port 0 selects any free port.
 
     Args:
-      ip: IP number.
-      port: port.
-      advertised: IP:port that others use, empty for the same one.
+      ip: IP address.
+      port: port number, 0 for any free port.
+      advertised: IP:port for other processes, empty for the address itself.
 
     Raises:
-      OSError: the address is taken.
+      OSError: the address is in use.
     """
     sockets = netutil.bind_sockets(port, ip, backlog=BACKLOG)
     port = sockets[0].getsockname()[1]
--- a/chervilrock/node/core.py
+++ b/chervilrock/node/core.py
@@ -1,4 +1,4 @@
-"""What every part of a node needs."""
+"""Identity and shared tools that every part of a node needs."""
 
 import random
 from typing import NamedTuple
@@ -14,19 +14,18 @@
 
 
 class NodeCore(NamedTuple):
-    """Identity and tools of one run of a node.
+    """Identity and shared tools of one run of a node.
 
     Attributes:
-      settings: checked settings
-      address: IP:port that others use
-      incarnation: name of this run
+      settings: validated settings
+      address: IP:port for other processes
+      incarnation: identifier of this run
       clock: clock of the process, in seconds
-      generator: source of all random choices
+      generator: random generator for all random choices
       metrics: metrics of the node
       http: client for the platform and for peers
       probe_http: client for orders to engines
-      poller: client for what is read from engines and the host list again
-        and again
+      poller: client for periodic reads of engines and of the host list
     """
 
     settings: NodeSettings
@@ -40,7 +39,7 @@
     poller: Poller
 
     def name_stream(self, kind: str) -> str:
-        """Return the name of a stream of the region of this node."""
+        """Return the name of a log stream of the region of this node."""
         return f"{kind}.{self.settings.region}"
 
     def make_writer(self) -> RecordWriter:
--- a/chervilrock/node/documents.py
+++ b/chervilrock/node/documents.py
@@ -1,8 +1,8 @@
-"""Checks of configurations that reach a node.
+"""Validation of configurations that a node receives.
 
-The command line has checked the file with all places. A node checks the
-document once more, since a request may come from elsewhere and an accepted
-configuration is in force everywhere.
+The command line validates the file first and reports the line of each finding.
+A node validates the document again, since a request may come from another
+client and an accepted configuration is in force on all nodes.
 """
 
 from typing import Any
@@ -12,17 +12,20 @@
 from chervilrock.generated.configuration import Configuration
 from chervilrock.generated.operators import ApplyFinding
 
-NAME = "document"
+DOCUMENT_NAME = "document"
 
 
 def check_document(
     document: Any,
 ) -> tuple[Configuration | None, tuple[ApplyFinding, ...]]:
-    """Return the checked configuration, or what is wrong with it."""
-    # The check needs libraries that an idle node does without.
+    """Return the validated configuration, or None and the findings."""
+    # Imported here since the check loads libraries that an idle node does
+    # not need.
     from chervilrock.configuration.check import check_decoded
 
-    checked, findings = check_decoded(msgspec.to_builtins(document), NAME)
+    checked, findings = check_decoded(
+        msgspec.to_builtins(document), DOCUMENT_NAME
+    )
     if checked is not None:
         return checked, ()
     return None, tuple(
--- a/chervilrock/node/entry.py
+++ b/chervilrock/node/entry.py
@@ -1,4 +1,4 @@
-"""An entry node: its start, its life and its graceful stop."""
+"""An entry node: start, running tasks and graceful stop."""
 
 import asyncio
 import os
@@ -18,8 +18,8 @@
 from chervilrock.tasks.clock import Clock, read_clock
 from chervilrock.tasks.region import LeaseGivenUp
 
-IDLE_POLL_S = 0.05
-ADDRESS_MARGIN_S = 0.5
+DRAIN_POLL_INTERVAL_S = 0.05
+ADDRESS_EXPIRY_MARGIN_S = 0.5
 INCARNATION_BYTES = 6
 
 
@@ -27,22 +27,22 @@
     """An entry node in the running event loop.
 
     Attributes:
-      address: IP:port that others use, known after `start`
+      address: IP:port for other processes, known after `start`
       settings: settings of the node
-      name: identifier from the settings
-      running: whether it runs
-      incarnation: name of this run
+      name: identifier of the node from the settings
+      running: whether the node has started and not stopped yet
+      incarnation: identifier of this run
       metrics: metrics of the node
-      failed: set when a task of the node failed, which ends the node
+      failed: set when a task of the node has failed, which ends the node
     """
 
     def __init__(
         self, *, settings: NodeSettings, clock: Clock = read_clock
     ) -> None:
-        """Make a node; nothing listens yet.
+        """Create a node that does not listen yet.
 
         Args:
-          settings: checked settings
+          settings: validated settings
           clock: clock of the process, in seconds
         """
         self.settings = settings
@@ -53,14 +53,14 @@
         self.running = False
         self.failed = asyncio.Event()
         self._clock = clock
-        self._running: list[asyncio.Task[None]] = []
+        self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> str:
         """Listen, start every task and return IP:port.
 
         Raises:
-          ValueError: the setting `listen` is no IP:port
-          OSError: the port is taken
+          ValueError: the setting `listen` is not an IP:port
+          OSError: the port is in use
         """
         binding = bind(self.settings)
         self.address = binding.address
@@ -75,48 +75,51 @@
             probe_http=HttpClient(),
             poller=Poller(),
         )
-        self._parts = build_parts(self._core, self._update_own)
+        self._parts = build_parts(self._core, self._update_own_entry)
         self._path = RequestPath(context=self._parts.requests)
         self._server = make_server(self._core, self._parts, self._path)
         self._server.add_sockets(binding.sockets)
-        self._start_work()
+        self._start_tasks()
         self.running = True
         events.emit(
             events.Event.NODE_STARTED, node=self.name, address=self.address
         )
         return self.address
 
-    def _start_work(self) -> None:
-        for name, work in list_work(self._core, self._parts).items():
-            task = asyncio.create_task(work, name=name)
-            task.add_done_callback(self._record_end)
-            self._running.append(task)
+    def _start_tasks(self) -> None:
+        for name, coroutine in list_work(self._core, self._parts).items():
+            task = asyncio.create_task(coroutine, name=name)
+            task.add_done_callback(self._handle_task_end)
+            self._tasks.append(task)
 
-    def _record_end(self, task: "asyncio.Task[None]") -> None:
-        """End the node when a task fails: a half node must not serve."""
+    def _handle_task_end(self, task: "asyncio.Task[None]") -> None:
+        """End the node when a task has failed.
+
+        A node without one of its tasks must not serve requests.
+        """
         if task.cancelled() or task.exception() is None:
             return
         error = repr(task.exception())
         events.emit(events.Event.TASK_FAILED, task=task.get_name(), error=error)
         self.failed.set()
 
-    def _update_own(self) -> None:
-        """Bring what this node says of itself up to date."""
+    def _update_own_entry(self) -> None:
+        """Update the entry that this node sends to its peers."""
         view = self._parts.view
         configuration = self._parts.configuration
         self._parts.table.update_own(
-            phase=self._find_phase(),
+            phase=self._compute_phase(),
             load=self._parts.admission.load(),
             revision=configuration.revision,
         )
         configuration.set_snapshot_duty(view.serving.holds_lease)
         self._parts.peers.record_controller(view.serving.controller)
-        # Parts of workspace bounds settle by time, also without requests.
+        # Shares of workspace limits change with time, also without requests.
         self._path.gate.sweep(self._clock())
-        self._measure()
+        self._update_metrics()
 
-    def _find_phase(self) -> NodePhase:
-        """Return the phase, which becomes `serving` once all is known."""
+    def _compute_phase(self) -> NodePhase:
+        """Return the phase, `serving` once view and configuration are known."""
         view = self._parts.view
         phase = self._parts.table.own.phase
         known = view.serving.known and view.configuration is not None
@@ -127,7 +130,7 @@
         )
         return NodePhase.SERVING
 
-    def _measure(self) -> None:
+    def _update_metrics(self) -> None:
         self.metrics.in_flight_requests.set(self._path.in_flight)
         self.metrics.queue_requests.set(self._path.gate.waiting)
         counts = dict.fromkeys(NodePhase, 0)
@@ -136,10 +139,10 @@
         self.metrics.set_peers(counts)
 
     async def stop(self) -> int:
-        """Stop gracefully; return the number of requests that were cut.
+        """Stop gracefully; return the number of requests that were cut off.
 
-        The node leaves the address answer first, waits until cached answers
-        have aged, refuses new requests as not run, and waits for those in
+        The node withdraws its address first, waits until cached addresses
+        have expired, rejects new requests as not run, and waits for those in
         progress.
         """
         events.emit(
@@ -148,10 +151,12 @@
             in_flight=self._path.in_flight,
         )
         self._set_phase(NodePhase.LEAVING)
-        await self._give_lease_up()
+        await self._release_lease()
         await self._parts.peers.announce()
-        await asyncio.sleep(self.settings.address_ttl_s + ADDRESS_MARGIN_S)
-        self._parts.requests.refuse_new()
+        await asyncio.sleep(
+            self.settings.address_ttl_s + ADDRESS_EXPIRY_MARGIN_S
+        )
+        self._parts.requests.reject_new()
         cut = await self._drain()
         self._set_phase(NodePhase.STOPPED)
         await self._parts.peers.announce()
@@ -160,20 +165,20 @@
         return cut
 
     async def _drain(self) -> int:
-        """Wait for the requests in progress; return how many are left."""
+        """Wait for the requests in progress; return the number left."""
         deadline = self._clock() + self.settings.drain_timeout_s
         while self._path.in_flight and self._clock() < deadline:
-            await asyncio.sleep(IDLE_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         return self._path.in_flight
 
     async def kill(self) -> None:
-        """Stop at once, as a crash would."""
+        """Stop at once without a drain, as a crash does."""
         if not self.running:
             return
         self.running = False
-        for task in self._running:
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self._running, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
         self._server.stop()
         await self._server.close_all_connections()
         self._path.close()
@@ -187,8 +192,8 @@
             phase=phase, load=own.load, revision=own.revision
         )
 
-    async def _give_lease_up(self) -> None:
-        done: asyncio.Future[None]
-        done = asyncio.get_running_loop().create_future()
-        await self._parts.region.inbox.send(LeaseGivenUp(done))
-        await done
+    async def _release_lease(self) -> None:
+        released: asyncio.Future[None]
+        released = asyncio.get_running_loop().create_future()
+        await self._parts.region.inbox.send(LeaseGivenUp(released))
+        await released
--- a/chervilrock/node/operations.py
+++ b/chervilrock/node/operations.py
@@ -1,4 +1,4 @@
-"""The node as the handlers for operators and peers see it."""
+"""State of a node for the handlers of operators and peers."""
 
 import asyncio
 from typing import Any
@@ -40,7 +40,7 @@
 
 
 class NodeOperations(OperatorContext, PeerContext):
-    """Answers operators and peers from the tasks of the node."""
+    """Answers requests of operators and peers from the state of the tasks."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         admission: Admission,
         metrics: Metrics,
     ) -> None:
-        """Take the parts of the node that operators look at."""
+        """Create the context from the parts of a node."""
         self._settings = settings
         self._clock = clock
         self._configuration = configuration
@@ -73,7 +73,7 @@
         """See base class."""
         document, findings = check_document(request["document"])
         if document is None:
-            return self._refuse(findings)
+            return self._reject(findings)
         reply: asyncio.Future[ApplyResult | None]
         reply = asyncio.get_running_loop().create_future()
         command = ApplyCommand(
@@ -154,7 +154,7 @@
         """See base class."""
         return self._peers.answer(digest)
 
-    def _refuse(self, findings: tuple[ApplyFinding, ...]) -> ApplyAnswer:
+    def _reject(self, findings: tuple[ApplyFinding, ...]) -> ApplyAnswer:
         return ApplyAnswer(
             accepted=False,
             revision=self._configuration.revision,
@@ -184,7 +184,7 @@
 def make_record(
     request: ApplyRequest, document: Configuration
 ) -> ConfigurationApplied:
-    """Return the record for a checked configuration."""
+    """Return the record to append for a validated configuration."""
     return ConfigurationApplied(
         base_revision=request["base_revision"],
         operator=request["operator"],
@@ -194,7 +194,7 @@
 
 
 def make_answer(result: ApplyResult) -> ApplyAnswer:
-    """Return what an operator is told of a record that was read back."""
+    """Return the answer to an operator, given the outcome of the record."""
     answer = ApplyAnswer(
         accepted=result.accepted, revision=result.revision, findings=()
     )
--- a/chervilrock/node/parts.py
+++ b/chervilrock/node/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node, built and tied to each other."""
+"""Construction of the parts of a node and of the links between them."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -27,15 +27,15 @@
 
 
 class NodeParts(NamedTuple):
-    """The parts that the life of a node deals with.
+    """The parts that start, run and stop with a node.
 
     Attributes:
-      log: log service
+      log: client of the log service
       engine: control side of the engines
-      table: nodes that this one has heard of
+      table: nodes that this one has received an entry of
       admission: limits of the node
-      requests: the node as the handlers for callers see it
-      operations: the node as the handlers for operators and peers see it
+      requests: state of the node for the handlers of callers' requests
+      operations: state of the node for the handlers of operators and peers
     """
 
     log: LogService
@@ -54,17 +54,17 @@
 def build_parts(
     core: NodeCore, before_exchange: Callable[[], None]
 ) -> NodeParts:
-    """Make every part of a node; nothing runs yet.
+    """Create every part of a node; no task runs yet.
 
     Args:
-      core: identity and tools of the node
+      core: identity and shared tools of the node
       before_exchange: called before each exchange with a peer
     """
     outages = OutageLog(metrics=core.metrics)
     log = HttpLogService(http=core.http, address=core.settings.log_service)
     engine = PolledModelEngine(http=core.probe_http, poller=core.poller)
     table = MemberTable(
-        own=_make_own(core),
+        own=_make_own_entry(core),
         interval_s=core.settings.exchange_interval_ms / MS_PER_S,
     )
     admission = Admission(node=core.settings.node, limits=LimitSpec())
@@ -127,7 +127,7 @@
     )
 
 
-def _make_own(core: NodeCore) -> PeerNode:
+def _make_own_entry(core: NodeCore) -> PeerNode:
     return PeerNode(
         node=core.settings.node,
         incarnation=core.incarnation,
--- a/chervilrock/node/requests.py
+++ b/chervilrock/node/requests.py
@@ -1,4 +1,4 @@
-"""The node as the handlers for callers see it."""
+"""State of a node for the handlers of callers' requests."""
 
 from typing import TYPE_CHECKING
 
@@ -27,7 +27,7 @@
 
 
 class NodeRequests(RequestContext):
-    """Answers the questions of the handlers from the views of the node."""
+    """Provides the handlers with the current state of the node."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         keys: KeyTask,
         generator: "random.Random",
     ) -> None:
-        """Take the parts of the node that requests need."""
+        """Create the context from the parts of a node."""
         self._settings = settings
         self._incarnation = incarnation
         self._clock = clock
@@ -93,8 +93,8 @@
         """See base class."""
         return self._metrics
 
-    def refuse_new(self) -> None:
-        """Refuse new requests from now on."""
+    def reject_new(self) -> None:
+        """Reject new requests from now on."""
         self._leaving = True
 
     def now(self) -> float:
--- a/chervilrock/node/server.py
+++ b/chervilrock/node/server.py
@@ -18,15 +18,15 @@
 from chervilrock.node.core import NodeCore
 from chervilrock.node.parts import NodeParts
 
-IDLE_CONNECTION_S = 3600.0
+IDLE_CONNECTION_TIMEOUT_S = 3600.0
 
 
 def bind(settings: NodeSettings) -> Binding:
-    """Listen as the settings say.
+    """Listen on the address of the settings.
 
     Raises:
-      ValueError: the setting is no IP:port
-      OSError: the port is taken
+      ValueError: the setting `listen` is not an IP:port
+      OSError: the port is in use
     """
     listen = parse_address(settings.listen)
     if listen is None:
@@ -37,7 +37,7 @@
 def make_server(
     core: NodeCore, parts: NodeParts, path: RequestPath
 ) -> httpserver.HTTPServer:
-    """Return the server with all handlers; it has no sockets yet."""
+    """Return a server with all handlers and without sockets."""
     limits = BodyLimits(
         max_bytes=core.settings.max_body_bytes,
         timeout_s=core.settings.header_timeout_s,
@@ -54,5 +54,5 @@
     return httpserver.HTTPServer(
         application,
         max_body_size=core.settings.max_body_bytes,
-        idle_connection_timeout=IDLE_CONNECTION_S,
+        idle_connection_timeout=IDLE_CONNECTION_TIMEOUT_S,
     )
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -1,4 +1,4 @@
-"""A node on the platform of the users, assembled from tasks and edges."""
+"""A serving node on the platform, assembled from its tasks and servers."""
 
 import asyncio
 from collections.abc import Callable
@@ -41,32 +41,32 @@
 from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 MAX_REQUESTS = 1024
-"""Requests to backend servers at once, far above the slots of all groups."""
+"""Concurrent requests to backend servers, far above the slots of all groups."""
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
-KEEP_ADDRESSES_S = 1.0
-"""Time for which callers keep addresses; some keep them three times as long,
-and a node that stops serves until then."""
+ADDRESS_TTL_S = 1.0
+"""Time for which callers may cache addresses. Some cache them three times as
+long, so a stopping node serves until then."""
 
-LEAST_STOP_S = 3.2
-"""Time for which a node that stops goes on serving: three times as long as
-callers are told to keep its address."""
+MIN_STOP_S = 3.2
+"""Minimum time for which a stopping node continues to serve. Callers may cache
+its address for three times the announced lifetime."""
 
 STOP_MARGIN_S = 0.8
-"""Time before the end of the grace at which the process ends by itself."""
+"""Margin before the end of the grace period at which the process exits."""
 
-IDLE_S = 60.0
-"""Time after which an idle connection is closed; callers use one again for
-less than the bound of the configuration, some ten seconds."""
+IDLE_CONNECTION_TIMEOUT_S = 60.0
+"""Time after which an idle connection is closed. Callers reuse a connection for
+less than the limit of the configuration, about 10 s."""
 
-WATCH_S = 0.05
-"""Time between two looks for groups that have stopped."""
+WATCH_INTERVAL_S = 0.05
+"""Interval between two checks for groups that have stalled."""
 
 
 class ServingNode:
-    """Sockets, tasks and edges of one process."""
+    """Listening sockets, tasks and request handlers of one process."""
 
     def __init__(
         self,
@@ -74,14 +74,14 @@
         settings: NodeSettings,
         count_dropped_lines: Callable[[], int] = lambda: 0,
     ) -> None:
-        """Take the addresses of a node, which does not answer yet.
+        """Create a node that is bound to its addresses and does not answer yet.
 
         Args:
-          settings: its settings.
-          count_dropped_lines: returns the log lines that were dropped.
+          settings: settings of the node.
+          count_dropped_lines: returns the number of dropped log lines.
 
         Raises:
-          OSError: an address is taken.
+          OSError: an address is in use.
         """
         self._settings = settings
         self._count_dropped_lines = count_dropped_lines
@@ -137,59 +137,59 @@
         )
         self._callers = CallerEdge(context=context)
         self._servers: list[httpserver.HTTPServer] = []
-        self._running: list[asyncio.Task[None]] = []
+        self._tasks: list[asyncio.Task[None]] = []
         self.failed = asyncio.Event()
 
     @property
     def own(self) -> NodeEntry:
-        """Name and addresses of the node."""
+        """Identity and addresses of the node."""
         return self._own
 
     @property
     def state(self) -> ServingState:
-        """What the node knows; for tests and the dump of the state."""
+        """State of the node, for tests and the state dump."""
         return self._state
 
     @property
     def leads(self) -> bool:
-        """Whether the node leads."""
+        """Whether the node is the leader."""
         return self._task.is_leader
 
     @property
     def relays(self) -> bool:
-        """Whether the node passes on what the leader tells."""
+        """Whether the node relays announcements of the leader."""
         return self._task.is_relay
 
     @property
     def directory_address(self) -> str:
-        """IP:port for the question which addresses to use."""
+        """IP:port that returns the addresses for callers."""
         return self._directory_binding.address
 
     @property
     def ready_address(self) -> str:
-        """IP:port for the question whether the node is ready."""
+        """IP:port of the readiness check."""
         return self._ready_binding.address
 
     def start(self) -> None:
-        """Listen and begin to work.
+        """Accept connections and start the tasks.
 
         Raises:
-          OSError: the address for metrics is taken.
+          OSError: the address for metrics is in use.
         """
         settings = self._settings
         peers = SimpleEdge(answer=self._answer_peer)
-        questions = SimpleEdge(answer=self._answer_platform)
+        lookups = SimpleEdge(answer=self._answer_platform)
         self._serve(self._callers_binding, self._callers)
-        self._serve(self._ready_binding, questions)
-        self._serve(self._directory_binding, questions)
-        self._serve(self._peer_binding, peers, is_for_nodes=True)
+        self._serve(self._ready_binding, lookups)
+        self._serve(self._directory_binding, lookups)
+        self._serve(self._peer_binding, peers, accepts_compression=True)
         if settings.metrics_port:
             metrics = _bind(f"{settings.ip}:{settings.metrics_port}")
             self._serve(metrics, peers)
-        for work in (self._task.run(), self._watch_groups()):
-            task = asyncio.create_task(work)
-            task.add_done_callback(self._record_end)
-            self._running.append(task)
+        for coroutine in (self._task.run(), self._watch_groups()):
+            task = asyncio.create_task(coroutine)
+            task.add_done_callback(self._handle_task_end)
+            self._tasks.append(task)
         emit(
             Event.SERVING_STARTED,
             node=self._own.node,
@@ -199,11 +199,11 @@
         )
 
     async def stop(self) -> None:
-        """Serve until callers have turned to other nodes, then close.
+        """Serve until callers have moved to other nodes, then close.
 
-        A leader stays until another node leads, within its time.
+        A leader stays until another node leads or the grace period ends.
         """
-        began = read_clock()
+        started_at = read_clock()
         self._state.is_stopping = True
         emit(
             Event.SERVING_STOPPING,
@@ -211,23 +211,23 @@
             running=len(self._callers.exchanges),
         )
         await self._task.resign()
-        latest = began + self._settings.stop_within_s - STOP_MARGIN_S
-        while read_clock() < latest:
-            is_over = read_clock() - began >= LEAST_STOP_S
-            has_work = self._callers.exchanges or self._task.has_followers
-            if is_over and not has_work:
+        deadline = started_at + self._settings.stop_within_s - STOP_MARGIN_S
+        while read_clock() < deadline:
+            is_min_time_over = read_clock() - started_at >= MIN_STOP_S
+            is_needed = self._callers.exchanges or self._task.has_followers
+            if is_min_time_over and not is_needed:
                 break
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
         emit(
             Event.SERVING_STOPPED,
             node=self._own.node,
             cut=len(self._callers.exchanges),
-            seconds=round(read_clock() - began, 3),
+            seconds=round(read_clock() - started_at, 3),
         )
         await self.close()
 
     def reload(self) -> None:
-        """Note that the settings file has changed; it names no new peers."""
+        """Log that the settings file has changed; it lists no peers."""
         emit(Event.SETTINGS_RELOADED, node=self._own.node)
 
     def _serve(
@@ -235,28 +235,31 @@
         binding: Binding,
         edge: httputil.HTTPServerConnectionDelegate,
         *,
-        is_for_nodes: bool = False,
+        accepts_compression: bool = False,
     ) -> None:
         server = httpserver.HTTPServer(
             edge,
             max_body_size=MAX_BODY_BYTES,
-            idle_connection_timeout=IDLE_S,
-            decompress_request=is_for_nodes,
+            idle_connection_timeout=IDLE_CONNECTION_TIMEOUT_S,
+            decompress_request=accepts_compression,
         )
         server.add_sockets(binding.sockets)
         self._servers.append(server)
 
     async def close(self) -> None:
-        """Stop all work and close all connections."""
-        for task in self._running:
+        """Cancel all tasks and close all connections."""
+        for task in self._tasks:
             task.cancel()
         for server in self._servers:
             server.stop()
             await server.close_all_connections()
         self._client.close()
 
-    def _record_end(self, task: "asyncio.Task[None]") -> None:
-        """End the process when a task has failed; half a node serves nobody."""
+    def _handle_task_end(self, task: "asyncio.Task[None]") -> None:
+        """End the process when a task has failed.
+
+        A node without one of its tasks must not serve requests.
+        """
         if task.cancelled():
             return
         error = task.exception()
@@ -264,22 +267,25 @@
         self.failed.set()
 
     async def _watch_groups(self) -> None:
-        """Look for groups whose streams have stopped."""
+        """Check periodically for groups whose streams have stalled."""
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             now = read_clock()
             self._metrics.view_age.set(max(0.0, now - self._state.view_time))
             for endpoint in self._state.view.groups:
                 self._watch_group(endpoint, now)
-            served = {one.group for one in self._state.view.groups}
+            served = {
+                served_endpoint.group
+                for served_endpoint in self._state.view.groups
+            }
             for group in set(self._state.watches) - served:
                 if not self._state.watches[group].running:
                     del self._state.watches[group]
 
     def _watch_group(self, endpoint: GroupEndpoint, now: float) -> None:
-        watch = self._state.watches.get(endpoint.group)
+        detector = self._state.watches.get(endpoint.group)
         engine = self._state.find_engine(endpoint.service)
-        if watch is None or engine is None or not watch.running:
+        if detector is None or engine is None or not detector.running:
             return
         model = engine.models.get(endpoint.model)
         limits = compute_stall_limits(
@@ -287,13 +293,13 @@
             pace=1.0 if model is None else model.time_factor,
             running=self._state.count_requests(endpoint.server),
         )
-        if not watch.is_stalled(limits, now):
+        if not detector.is_stalled(limits, now):
             return
         self._task.report_stall(endpoint.group, now)
-        streams = tuple(watch.list_streams())
+        streams = tuple(detector.list_streams())
         moved = self._callers.record_stall(streams, now)
-        if moved or not watch.is_stall_logged:
-            watch.is_stall_logged = True
+        if moved or not detector.is_stall_logged:
+            detector.is_stall_logged = True
             emit(
                 Event.GROUP_SILENT,
                 group=endpoint.group,
@@ -306,36 +312,36 @@
     def _answer_platform(
         self, path: str, query: dict[str, str], body: bytes
     ) -> Reply:
-        """Answer the platform and callers that ask for addresses."""
+        """Answer readiness checks and address lookups."""
         del body
         state = self._state
         if path == directory.READY_PATH:
             is_ready = state.routes is not None and not state.is_stopping
             return Reply(status=200 if is_ready else 503)
         if path == directory.ADDRESSES_PATH:
-            place = directory.read_data_centre(query)
+            data_centre = directory.read_data_centre(query)
             addresses = list(
-                self._task.list_callers_addresses(place, read_clock())
+                self._task.list_callers_addresses(data_centre, read_clock())
             )
             if not addresses:
                 return Reply(status=503)
             return Reply(
                 status=200,
-                body=directory.encode_addresses(addresses, KEEP_ADDRESSES_S),
+                body=directory.encode_addresses(addresses, ADDRESS_TTL_S),
             )
         return Reply(status=404)
 
     def _answer_peer(
         self, path: str, query: dict[str, str], body: bytes
     ) -> Reply:
-        """Answer other nodes, and operators who look at the state."""
+        """Answer other nodes, and operators who read state or metrics."""
         del query
         now = read_clock()
         rest = path.removeprefix("/peer/")
         if path == "/peer/announcement":
             return self._answer_announcement(body, now)
         if path == "/peer/ends":
-            return self._answer_ends(body, now)
+            return self._answer_crash_report(body, now)
         if path == "/peer/configuration":
             return Reply(status=200, body=self._task.get_document())
         if path == "/peer/limit":
@@ -357,7 +363,7 @@
         answer = self._task.handle_announcement(announcement, now)
         return Reply(status=200, body=msgspec.json.encode(answer))
 
-    def _answer_ends(self, body: bytes, now: float) -> Reply:
+    def _answer_crash_report(self, body: bytes, now: float) -> Reply:
         report = decode_crash_report(body)
         if report is None:
             return Reply(status=400)
@@ -365,10 +371,10 @@
         return Reply(status=200)
 
     def _answer_limit(self, body: bytes) -> Reply:
-        heard = decode_limit(body)
-        if heard is None:
+        report = decode_limit(body)
+        if report is None:
             return Reply(status=400)
-        self._task.mailbox.offer(heard)
+        self._task.mailbox.offer(report)
         return Reply(status=200)
 
     def _answer_metrics(self, now: float) -> Reply:
--- a/chervilrock/node/view.py
+++ b/chervilrock/node/view.py
@@ -1,4 +1,4 @@
-"""What requests are decided by: groups, backend servers, configuration."""
+"""The view of groups, backend servers and configuration for requests."""
 
 from chervilrock.decisions.limits.admission import Admission
 from chervilrock.decisions.routing.base import Endpoint, RoutingPolicy
@@ -21,16 +21,17 @@
 
 
 class ViewTask:
-    """Keeps what requests are decided by up to date.
+    """Keeps the view that requests are routed and admitted by up to date.
 
-    It owns the admission and the routing policy together with the handlers
-    of requests, which run in the same event loop and never wait in between.
+    It shares the admission and the routing policy with the request handlers.
+    Both run in the same event loop and never await between reading and
+    changing them.
 
     Attributes:
-      inbox: mailbox for the newest views
-      serving: last view of the region
+      inbox: mailbox for views, configurations and loads
+      serving: latest view of the region
       configuration: configuration in force, None before the first one
-      revision: its revision, 0 for none
+      revision: revision of the configuration, 0 for none
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         policy: RoutingPolicy,
         metrics: Metrics,
     ) -> None:
-        """Make the task without groups and configuration."""
+        """Create a task without groups and configuration."""
         self._clock = clock
         self._admission = admission
         self._policy = policy
@@ -53,20 +54,20 @@
         self.revision = 0
 
     async def run(self) -> None:
-        """Take views until cancelled."""
+        """Apply messages until cancelled."""
         while True:
-            self._take(await self.inbox.receive(), self._clock())
+            self._apply(await self.inbox.receive(), self._clock())
 
-    def _take(self, message: Message, now: float) -> None:
+    def _apply(self, message: Message, now: float) -> None:
         if isinstance(message, ServingView):
-            self._take_serving(message, now)
+            self._apply_serving(message, now)
         elif isinstance(message, ConfigurationInForce):
-            self._take_configuration(message, now)
+            self._apply_configuration(message, now)
         else:
             self._policy.on_load_report(message.group, message.load, now)
             self._admission.observe_load(message.group, message.load, now)
 
-    def _take_serving(self, view: ServingView, now: float) -> None:
+    def _apply_serving(self, view: ServingView, now: float) -> None:
         self.serving = view
         groups = (
             *(timed.endpoint for timed in view.endpoints),
@@ -77,7 +78,7 @@
         self._groups = groups
         self._admission.observe_groups(groups, now)
 
-    def _take_configuration(
+    def _apply_configuration(
         self, message: ConfigurationInForce, now: float
     ) -> None:
         self.configuration = message.document
@@ -103,7 +104,7 @@
         return tuple(self.configuration["models"])
 
     def find_service(self, name: str) -> ServiceSpec | None:
-        """Return the configuration of a plain service."""
+        """Return the configuration of a plain service, None for none."""
         if self.configuration is None:
             return None
         for spec in self.configuration.get("services", ()):
@@ -112,7 +113,7 @@
         return None
 
     def list_backends(self, name: str) -> tuple[ServiceEntry, ...]:
-        """Return the backend servers of a plain service for new work."""
+        """Return the backend servers of a plain service for new requests."""
         return tuple(
             entry for entry in self.serving.services if entry["service"] == name
         )
@@ -130,14 +131,14 @@
         )
 
     def holds(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether a group still works on what it was sent."""
+        """Return whether a group still processes requests sent to it."""
         for timed in self.serving.endpoints:
             if timed.endpoint.group == endpoint.group:
-                same = timed.endpoint.fence == endpoint.fence
-                return same and now < timed.until
+                is_same_fence = timed.endpoint.fence == endpoint.fence
+                return is_same_fence and now < timed.until
         return any(
-            one.group == endpoint.group
-            and one.fence == endpoint.fence
-            and now < one.until
-            for one in self.serving.finishing
+            finishing_group.group == endpoint.group
+            and finishing_group.fence == endpoint.fence
+            and now < finishing_group.until
+            for finishing_group in self.serving.finishing
         )
--- a/chervilrock/node/work.py
+++ b/chervilrock/node/work.py
@@ -1,4 +1,4 @@
-"""What runs in a node from its start to its end."""
+"""The coroutines of the tasks that run in a node while it is up."""
 
 from collections.abc import Coroutine
 from typing import Any
@@ -17,11 +17,11 @@
 HOST_LIST_INTERVAL_S = 1.0
 LOAD_INTERVAL_S = 0.5
 
-Work = dict[str, Coroutine[Any, Any, None]]
+Coroutines = dict[str, Coroutine[Any, Any, None]]
 
 
-def list_work(core: NodeCore, parts: NodeParts) -> Work:
-    """Return the coroutine of each task by its name."""
+def list_work(core: NodeCore, parts: NodeParts) -> Coroutines:
+    """Return the coroutine of each task by the name of the task."""
     return {
         **_list_region(core, parts),
         **_list_configuration(core, parts),
@@ -31,8 +31,8 @@
     }
 
 
-def _list_region(core: NodeCore, parts: NodeParts) -> Work:
-    """Return the tasks around the region task."""
+def _list_region(core: NodeCore, parts: NodeParts) -> Coroutines:
+    """Return the region task and the tasks that exchange messages with it."""
     inbox = parts.region.inbox
     stream = core.name_stream("region")
     reader = ReadTask(
@@ -84,8 +84,8 @@
     }
 
 
-def _list_configuration(core: NodeCore, parts: NodeParts) -> Work:
-    """Return the tasks around the configuration task."""
+def _list_configuration(core: NodeCore, parts: NodeParts) -> Coroutines:
+    """Return the configuration task and its log reader and appender."""
     task = parts.configuration
     reader = ReadTask(
         log=parts.log,
@@ -108,8 +108,8 @@
     }
 
 
-def _list_keys(core: NodeCore, parts: NodeParts) -> Work:
-    """Return the tasks that claim keys of callers."""
+def _list_keys(core: NodeCore, parts: NodeParts) -> Coroutines:
+    """Return the tasks that claim the idempotency keys of callers."""
     reader = ReadTask(
         log=parts.log,
         stream=core.name_stream("keys"),
--- a/test/node/test_serving.py
+++ b/test/node/test_serving.py
@@ -18,7 +18,7 @@
 )
 
 from chervilrock.decisions.serving.relays import MAX_DIRECT_NODES
-from chervilrock.node.serving import LEAST_STOP_S
+from chervilrock.node.serving import MIN_STOP_S
 from chervilrock.standin.site.servers import ServerFault
 from chervilrock.standin.site.site import (
     KEY,
@@ -502,7 +502,7 @@
         world.site.store.door.fault = StoreFault.BUSY
         stopping = asyncio.ensure_future(leader.stop())
         # It would be closed by now if it did not wait for another leader.
-        await asyncio.sleep(LEAST_STOP_S + 0.5)
+        await asyncio.sleep(MIN_STOP_S + 0.5)
         assert_that(leader.leads, Is(True))
         ages = [read_clock() - one.state.view_time for one in others]
         assert_that(max(ages), LessThan(1.0))
