--- a/test/node/conftest.py
+++ b/test/node/conftest.py
@@ -1,4 +1,4 @@
-"""A small installation with one entry node, in one event loop."""
+"""A small installation with entry nodes, in one event loop."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -37,12 +37,12 @@
     Attributes:
       installation: the stand-ins
       nodes: the entry nodes that were started
-      http: client of callers and operators
+      http: client for requests of callers and operators
     """
 
     def __init__(self, *, hosts: int) -> None:
-        """Make stand-ins for some hosts in one fabric domain."""
-        listed = HostList(
+        """Create stand-ins for `hosts` hosts in one fabric domain."""
+        host_list = HostList(
             hosts=tuple(make_host(number) for number in range(hosts)),
             services=(
                 ServiceEntry(
@@ -54,17 +54,17 @@
             ),
             age_ms=0,
         )
-        entry = ModelEntry(versions=("1", "2"), adapters=(), bytes=1)
+        model_entry = ModelEntry(versions=("1", "2"), adapters=(), bytes=1)
         self.installation = Installation(
-            hosts=listed,
-            models={MODEL: entry},
+            hosts=host_list,
+            models={MODEL: model_entry},
             engine_options=EngineOptions(),
         )
         self.nodes: list[EntryNode] = []
         self.http = HttpClient()
 
     async def add_node(self, seeds: str | None = None) -> EntryNode:
-        """Start one more entry node, by default with all others as seeds."""
+        """Start another entry node, by default with all others as seeds."""
         others = ",".join(node.address for node in self.nodes)
         settings = NodeSettings(
             node=f"entry-{len(self.nodes)}",
@@ -85,7 +85,7 @@
         return node
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all nodes and stand-ins without a drain."""
         for node in self.nodes:
             await node.kill()
         await self.installation.stop()
@@ -93,7 +93,7 @@
 
 
 def make_host(number: int) -> HostEntry:
-    """Return a host of the list."""
+    """Return an entry of the host list."""
     return HostEntry(
         host=f"host-{number}",
         address="127.0.0.1:0",
@@ -108,7 +108,7 @@
 
 @pytest.fixture
 def run_site() -> Callable[..., None]:
-    """Run a test against a site, which is stopped in every case."""
+    """Run a test against a site that is stopped also when the test fails."""
 
     def run(test: Callable[[Site], Awaitable[None]], hosts: int = 4) -> None:
         async def run_all() -> None:
--- a/test/node/test_entry.py
+++ b/test/node/test_entry.py
@@ -1,4 +1,4 @@
-"""The whole path: an applied file, a whole group, an answered request."""
+"""End to end: an applied configuration, a formed group, an answered request."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 
 async def send(site, method, path, value=None, number=0, headers=None):
-    """Send a request to a node and return status and decoded body."""
+    """Send a request to a node and return the answer."""
     body = None if value is None else msgspec.json.encode(value)
     address = site.nodes[number].address
     result = await site.http.request(
@@ -49,24 +49,24 @@
 
 
 async def read_status(site, number=0):
-    """Return the status as a node tells it."""
+    """Return the status that a node reports."""
     answer = await send(site, "GET", "/admin/status", number=number)
     return json.loads(answer.body)
 
 
-async def wait_serving(site, number=0, without=()):
-    """Wait until a group without some hosts serves; return its status."""
+async def wait_serving(site, number=0, excluded_hosts=()):
+    """Wait until a group without the given hosts serves; return its status."""
     while True:
         status = await read_status(site, number)
         for group in status["groups"]:
-            whole = group["phase"] == "serving" and not group["missing"]
-            if whole and not set(group["hosts"]) & set(without):
+            is_complete = group["phase"] == "serving" and not group["missing"]
+            if is_complete and not set(group["hosts"]) & set(excluded_hosts):
                 return group
         await asyncio.sleep(0)
 
 
 async def wait_answer(site, number=0):
-    """Send a request until a group serves it; return the streamed text."""
+    """Repeat a request until a group serves it; return the streamed text."""
     while True:
         answer = await send(site, "POST", "/v1/chat/completions", BODY, number)
         if answer.status == 200:
@@ -77,23 +77,23 @@
 
 
 def read_text(stream):
-    """Return the text of a whole streamed answer."""
+    """Return the text of a complete streamed answer."""
     data = [
         line.removeprefix("data: ")
         for line in stream.splitlines()
         if line.startswith("data: ")
     ]
     assert_that(data[-1], Equals("[DONE]"))
-    events = [json.loads(one) for one in data[:-1]]
+    events = [json.loads(text) for text in data[:-1]]
     return "".join(event["choices"][0]["delta"]["content"] for event in events)
 
 
 def expect_text():
-    """Return the whole answer to the request."""
+    """Return the expected text of the complete answer to `BODY`."""
     return "".join(expected_text(MODEL, format_prompt(BODY), 12))
 
 
-def test_applied_file_becomes_a_group_that_answers(run_site):
+def test_applied_configuration_forms_a_group_that_answers(run_site):
     async def check(site):
         await site.add_node()
         answer = await apply(site)
@@ -105,21 +105,21 @@
     run_site(check)
 
 
-def test_group_is_repaired_after_the_death_of_a_host(run_site):
+def test_group_is_repaired_after_the_crash_of_a_host(run_site):
     async def check(site):
         await site.add_node()
         await apply(site)
         group = await wait_serving(site)
-        dead = group["hosts"][1]
-        site.installation.kill_host(dead)
-        repaired = await wait_serving(site, without=[dead])
+        killed = group["hosts"][1]
+        site.installation.kill_host(killed)
+        repaired = await wait_serving(site, excluded_hosts=[killed])
         assert_that(repaired["fence"] > group["fence"], Equals(True))
         assert_that(await wait_answer(site), Equals(expect_text()))
 
     run_site(check)
 
 
-def test_group_that_is_not_whole_serves_nothing(run_site):
+def test_incomplete_group_serves_no_requests(run_site):
     async def check(site):
         await site.add_node()
         await apply(site)
@@ -127,7 +127,7 @@
         await wait_answer(site)
         for host in group["hosts"][1:]:
             site.installation.kill_host(host)
-        # The dead hosts leave too few for a group, so nothing may serve.
+        # The hosts left are too few for a group, so no group may serve.
         while (await read_status(site))["groups"][0]["missing"] == []:
             await asyncio.sleep(0)
         answer = await send(site, "POST", "/v1/chat/completions", BODY)
@@ -139,7 +139,7 @@
     run_site(check, hosts=3)
 
 
-def test_second_node_takes_the_region_over(run_site):
+def test_second_node_takes_over_the_region(run_site):
     async def check(site):
         await site.add_node()
         await apply(site)
@@ -154,7 +154,7 @@
     run_site(check)
 
 
-def test_loser_of_a_race_is_told_who_was_first(run_site):
+def test_rejected_concurrent_apply_names_the_accepted_one(run_site):
     async def check(site):
         await site.add_node()
         await site.add_node()
@@ -171,7 +171,7 @@
     run_site(check)
 
 
-def test_wrong_document_is_refused_with_all_findings(run_site):
+def test_invalid_document_is_rejected_with_all_findings(run_site):
     async def check(site):
         await site.add_node()
         document = msgspec.to_builtins(DOCUMENT)
@@ -203,7 +203,7 @@
     run_site(check)
 
 
-def test_stopping_node_leaves_the_addresses_and_finishes_requests(run_site):
+def test_stopping_node_withdraws_its_address_and_finishes_requests(run_site):
     async def check(site):
         first = await site.add_node()
         await apply(site)
@@ -231,7 +231,7 @@
     run_site(check)
 
 
-def test_key_of_a_caller_runs_once_over_two_nodes(run_site):
+def test_request_with_an_idempotency_key_runs_once_across_two_nodes(run_site):
     async def check(site):
         await site.add_node()
         await site.add_node()
@@ -257,7 +257,7 @@
     run_site(check)
 
 
-def test_key_of_a_caller_runs_nothing_while_the_log_is_out(run_site):
+def test_request_with_an_idempotency_key_does_not_run_without_the_log(run_site):
     async def check(site):
         await site.add_node()
         await apply(site)
@@ -274,11 +274,11 @@
     run_site(check)
 
 
-def test_body_beyond_the_setting_is_refused(run_site):
+def test_body_over_the_size_limit_is_rejected(run_site):
     async def check(site):
         node = await site.add_node()
-        longest = node.settings.max_body_bytes
-        body = BODY | {"prompt": "x" * longest}
+        max_body_bytes = node.settings.max_body_bytes
+        body = BODY | {"prompt": "x" * max_body_bytes}
         answer = await send(site, "POST", "/v1/chat/completions", body)
         assert_that(answer.status, Equals(413))
         error = json.loads(answer.body)["error"]
@@ -288,18 +288,20 @@
     run_site(check)
 
 
-def test_nodes_whose_seeds_are_gone_find_each_other(run_site):
+def test_nodes_whose_seed_is_down_find_each_other(run_site):
     async def check(site):
         first = await site.add_node()
         await apply(site)
         await first.kill()
-        # Both know only the address of the first node, which is dead.
+        # Both have only the address of the first node, which was killed.
         await site.add_node(seeds=first.address)
         await site.add_node(seeds=first.address)
         for number in (1, 2):
             while True:
                 status = await read_status(site, number)
-                alive = {one["node"] for one in status["nodes"] if one["alive"]}
+                alive = {
+                    node["node"] for node in status["nodes"] if node["alive"]
+                }
                 if {"entry-1", "entry-2"} <= alive:
                     break
                 await asyncio.sleep(0)
--- a/test/node/test_leaving.py
+++ b/test/node/test_leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers that are leaving get nothing new within seconds."""
+"""Leaving backend servers and hosts get no new requests after a few seconds."""
 
 import asyncio
 import json
@@ -20,15 +20,15 @@
 )
 
 LEAVING_LIMIT_S = 3.0
-"""Time after which a leaving backend server gets nothing new."""
+"""Time after which a leaving backend server gets no new requests."""
 
-CALLS_AFTER = 30
+CALLS_AFTER_LEAVING = 30
 TOKEN_MS = 250.0
 SERVICE = "slots"
 
 
 def make_entry(address, leaving):
-    """Return a second backend server as the host list shows it."""
+    """Return the host list entry of a second backend server."""
     return ServiceEntry(
         service=SERVICE,
         address=address,
@@ -38,7 +38,7 @@
 
 
 async def call_service(site):
-    """Call the plain service and return the name of its backend server."""
+    """Call the plain service; return its backend server, "" if not run."""
     answer = await send(site, "POST", f"/services/{SERVICE}/17", {})
     if answer.status != 200:
         error = json.loads(answer.body)["error"]
@@ -47,40 +47,40 @@
     return json.loads(answer.body)["server"]
 
 
-async def wait_both(site):
-    """Call until both backend servers have answered."""
+async def wait_both_answered(site):
+    """Call the service until both backend servers have answered."""
     seen: set[str] = set()
     while len(seen - {""}) < 2:
         seen.add(await call_service(site))
 
 
 def count_runs(site):
-    """Return how many completions the engines ran."""
+    """Return the number of completions that the engines ran."""
     engines = site.installation.engines.values()
     return sum(sum(engine.executions.values()) for engine in engines)
 
 
 def slow_down(site):
-    """Make the answers of all engines take some seconds."""
+    """Delay the tokens of all engines so that an answer takes seconds."""
     for engine in site.installation.engines.values():
         engine.options = engine.options._replace(token_ms=TOKEN_MS)
 
 
-async def ask(site):
-    """Ask for a completion and return the status of its answer."""
+async def request_completion(site):
+    """Request a completion and return the status of the answer."""
     answer = await send(site, "POST", "/v1/chat/completions", BODY)
     return answer.status
 
 
-async def send_once(site):
-    """Ask for a whole answer to a request that must run once."""
+async def send_non_idempotent(site):
+    """Send a non-idempotent request for an unstreamed completion."""
     body = BODY | {"stream": False}
     headers = {"X-Idempotent": "false"}
     path = "/v1/chat/completions"
     return await send(site, "POST", path, body, headers=headers)
 
 
-def test_leaving_backend_server_of_a_service_gets_nothing_new(run_site):
+def test_leaving_backend_server_of_a_service_gets_no_new_requests(run_site):
     async def check(site):
         platform = site.installation.platform
         leaver = ServiceStandIn(options=ServiceOptions(server="leaver"))
@@ -88,52 +88,54 @@
         platform.add_hosts((), (make_entry(address, leaving=False),))
         await site.add_node()
         await apply(site)
-        await wait_both(site)
+        await wait_both_answered(site)
         platform.add_hosts((), (make_entry(address, leaving=True),))
         until = read_clock() + LEAVING_LIMIT_S
         while read_clock() < until:
             await call_service(site)
-        before = leaver.arrivals
-        servers = [await call_service(site) for _ in range(CALLS_AFTER)]
+        arrivals_before = leaver.arrivals
+        servers = [await call_service(site) for _ in range(CALLS_AFTER_LEAVING)]
         assert_that(servers, AllMatch(Equals(f"{SERVICE}-0")))
-        assert_that(leaver.arrivals, Equals(before))
+        assert_that(leaver.arrivals, Equals(arrivals_before))
         await leaver.stop()
 
     run_site(check)
 
 
-def test_group_of_a_leaving_host_gets_nothing_new(run_site):
+def test_group_of_a_leaving_host_gets_no_new_requests(run_site):
     async def check(site):
         await site.add_node()
         await apply(site)
         group = await wait_serving(site)
         await wait_answer(site)
         site.installation.mark_leaving(group["hosts"][-1])
-        while await ask(site) == 200:
+        while await request_completion(site) == 200:
             await asyncio.sleep(0)
-        before = count_runs(site)
-        told = [await ask(site) for _ in range(CALLS_AFTER)]
-        assert_that(told, AllMatch(Equals(503)))
-        assert_that(count_runs(site), Equals(before))
+        runs_before = count_runs(site)
+        statuses = [
+            await request_completion(site) for _ in range(CALLS_AFTER_LEAVING)
+        ]
+        assert_that(statuses, AllMatch(Equals(503)))
+        assert_that(count_runs(site), Equals(runs_before))
 
     run_site(check, hosts=3)
 
 
-def test_request_at_a_group_of_a_leaving_host_is_finished(run_site):
+def test_running_request_at_a_group_of_a_leaving_host_completes(run_site):
     async def check(site):
         await site.add_node()
         await apply(site)
         group = await wait_serving(site)
         await wait_answer(site)
         slow_down(site)
-        running = asyncio.create_task(send_once(site))
-        before = count_runs(site)
-        while count_runs(site) == before:
+        running = asyncio.create_task(send_non_idempotent(site))
+        runs_before = count_runs(site)
+        while count_runs(site) == runs_before:
             await asyncio.sleep(0)
         site.installation.mark_leaving(group["hosts"][-1])
         answer = await running
         assert_that(answer.status, Equals(200))
         assert_that(answer.body.decode(), Contains(expect_text()))
-        assert_that(count_runs(site), Equals(before + 1))
+        assert_that(count_runs(site), Equals(runs_before + 1))
 
     run_site(check, hosts=3)
--- a/test/node/test_serving.py
+++ b/test/node/test_serving.py
@@ -1,4 +1,4 @@
-"""A node on the platform, from the caller's to the servers' sockets."""
+"""A serving node on the platform, from callers' to servers' connections."""
 
 import asyncio
 from collections.abc import Iterator
@@ -34,8 +34,12 @@
 from test.node.serving_site import CUT, make_events, run_world, World
 
 
-def list_plain(world: World):
-    return [one for one in world.site.servers if one.service == PLAIN_SERVICE]
+def list_plain_servers(world: World):
+    return [
+        server
+        for server in world.site.servers
+        if server.service == PLAIN_SERVICE
+    ]
 
 
 def find_revision(world: World, node: int = 0) -> int:
@@ -46,14 +50,14 @@
 
 @pytest.fixture
 def log_lines() -> Iterator[list[str]]:
-    """Lines that are logged during a test."""
+    """Lines logged during a test."""
     lines: list[str] = []
     sink = logger.add(lines.append, format="{message}")
     yield lines
     logger.remove(sink)
 
 
-def test_a_stream_comes_whole_with_the_receipt_of_its_server() -> None:
+def test_a_stream_is_complete_and_has_the_receipt_of_its_server() -> None:
     async def scenario(world: World) -> None:
         headers = world.make_headers()
         answer = await world.call("/draft/x", headers=headers)
@@ -71,7 +75,7 @@
     run_world(scenario)
 
 
-def test_each_model_goes_to_a_head_of_its_own() -> None:
+def test_each_model_is_routed_to_a_head_of_its_own_groups() -> None:
     async def scenario(world: World) -> None:
         for model in (LARGE, SMALL):
             headers = world.make_headers(X_Model=model)
@@ -93,7 +97,7 @@
         ("/draft/x", {"Host": "other.example"}, 404),
     ],
 )
-def test_what_the_configuration_does_not_allow_is_denied(
+def test_requests_that_the_configuration_does_not_allow_are_denied(
     path: str, changes: dict[str, str], status: int
 ) -> None:
     async def scenario(world: World) -> None:
@@ -118,7 +122,7 @@
     run_world(scenario)
 
 
-def test_a_broken_stream_goes_on_at_another_group() -> None:
+def test_a_broken_stream_continues_at_another_group() -> None:
     async def scenario(world: World) -> None:
         heads = world.site.list_heads(LARGE)
         heads[0].fault = ServerFault.BREAK
@@ -133,7 +137,7 @@
     run_world(scenario)
 
 
-def test_streams_of_a_silent_group_move_and_the_group_is_replaced() -> None:
+def test_streams_of_a_stalled_group_move_and_the_group_is_replaced() -> None:
     async def scenario(world: World) -> None:
         head = world.site.list_heads(LARGE)[0]
         head.fault = ServerFault.SILENT
@@ -143,8 +147,8 @@
             calls.append((headers, world.call("/draft/x", headers=headers)))
         answers = await asyncio.gather(*(call for _, call in calls))
         for (headers, _), answer in zip(calls, answers, strict=True):
-            whole = make_events(headers["X-Request-Id"], 8)
-            assert_that(answer.body, Equals(whole))
+            expected_body = make_events(headers["X-Request-Id"], 8)
+            assert_that(answer.body, Equals(expected_body))
         assert_that(len(head.left), GreaterThan(0))
 
     run_world(scenario)
@@ -159,7 +163,8 @@
         request_id = headers["X-Request-Id"]
         call = asyncio.ensure_future(world.call("/draft/x", headers=headers))
         await world.wait(
-            lambda: len(world.find_runs(request_id)) == 2, "it moved once"
+            lambda: len(world.find_runs(request_id)) == 2,
+            "the stream moved once",
         )
         await asyncio.sleep(1.0)
         for head in heads:
@@ -171,9 +176,9 @@
     run_world(scenario, model_servers=12)
 
 
-def test_a_request_that_is_not_idempotent_runs_once_at_most() -> None:
+def test_a_non_idempotent_request_runs_at_most_once() -> None:
     async def scenario(world: World) -> None:
-        for server in list_plain(world):
+        for server in list_plain_servers(world):
             server.fault = ServerFault.LOSE
         headers = world.make_headers(X_Model="")
         answer = await world.call("/book/x", headers=headers)
@@ -183,9 +188,9 @@
     run_world(scenario)
 
 
-def test_a_request_that_did_not_run_says_so_and_when_to_return() -> None:
+def test_a_request_that_did_not_run_gets_503_and_a_retry_delay() -> None:
     async def scenario(world: World) -> None:
-        for server in list_plain(world):
+        for server in list_plain_servers(world):
             server.fault = ServerFault.FULL
         headers = world.make_headers(X_Model="")
         answer = await world.call("/book/x", headers=headers)
@@ -196,9 +201,9 @@
     run_world(scenario)
 
 
-def test_an_idempotent_request_is_repeated_at_another_server() -> None:
+def test_an_idempotent_request_is_retried_at_another_server() -> None:
     async def scenario(world: World) -> None:
-        list_plain(world)[0].fault = ServerFault.LOSE
+        list_plain_servers(world)[0].fault = ServerFault.LOSE
         for _ in range(4):
             headers = world.make_headers(X_Model="")
             answer = await world.call("/look/x", method="GET", headers=headers)
@@ -207,9 +212,9 @@
     run_world(scenario)
 
 
-def test_an_answer_to_another_request_is_not_passed_on() -> None:
+def test_an_answer_to_another_request_is_not_forwarded() -> None:
     async def scenario(world: World) -> None:
-        for server in list_plain(world):
+        for server in list_plain_servers(world):
             server.fault = ServerFault.FOREIGN
         headers = world.make_headers(X_Model="")
         answer = await world.call("/book/x", headers=headers)
@@ -219,9 +224,9 @@
     run_world(scenario)
 
 
-def test_a_failure_of_a_server_comes_with_its_receipt() -> None:
+def test_an_error_of_a_server_has_its_receipt() -> None:
     async def scenario(world: World) -> None:
-        for server in list_plain(world):
+        for server in list_plain_servers(world):
             server.fault = ServerFault.FAIL
         headers = world.make_headers(X_Model="")
         answer = await world.call("/book/x", headers=headers)
@@ -231,7 +236,7 @@
     run_world(scenario)
 
 
-def test_work_ends_when_its_caller_has_left() -> None:
+def test_a_request_is_cancelled_when_its_caller_disconnects() -> None:
     async def scenario(world: World) -> None:
         headers = world.make_headers(X_Token_Count="10,2000")
         address = world.nodes[0].own.callers_address
@@ -246,9 +251,11 @@
         request_id = headers["X-Request-Id"]
 
         def is_over() -> bool:
-            return any(request_id in one.left for one in world.site.servers)
+            return any(
+                request_id in server.left for server in world.site.servers
+            )
 
-        await world.wait(is_over, "the server saw its caller leave")
+        await world.wait(is_over, "the server saw the caller disconnect")
         assert_that(len(world.nodes[0].state.own_loads), Equals(0))
 
     run_world(scenario)
@@ -264,7 +271,9 @@
         assert_that(answer.status, Equals(CUT))
 
         def is_over() -> bool:
-            return any(request_id in one.left for one in world.site.servers)
+            return any(
+                request_id in server.left for server in world.site.servers
+            )
 
         await world.wait(is_over, "the server saw the request end")
 
@@ -276,7 +285,9 @@
         document = make_configuration(7, tenants=[])
         world.site.store.write_configuration(document)
         await world.wait(
-            lambda: all(find_revision(world, one) == 7 for one in range(2)),
+            lambda: all(
+                find_revision(world, number) == 7 for number in range(2)
+            ),
             "revision 7 in force",
         )
         for number in range(2):
@@ -286,18 +297,18 @@
     run_world(scenario, nodes=2)
 
 
-@pytest.mark.parametrize("refused", ["the leader", "another node"])
-def test_a_node_that_the_store_turns_away_gets_the_configuration(
-    refused: str,
+@pytest.mark.parametrize("rejected", ["the leader", "another node"])
+def test_a_node_that_the_store_rejects_gets_the_configuration(
+    rejected: str,
 ) -> None:
     async def scenario(world: World) -> None:
         store = world.site.store
         door = StoreDoor()
         node = world.add_node(store_address=world.site.open_door(door))
         await world.wait(world.serves_all, "the third node serves")
-        if refused == "the leader":
-            for one in world.nodes[:2]:
-                await one.close()
+        if rejected == "the leader":
+            for first_node in world.nodes[:2]:
+                await first_node.close()
             await world.wait(lambda: node.leads, "the third node leads")
             world.nodes = [node]
             world.add_node()
@@ -311,17 +322,17 @@
     run_world(scenario, nodes=2)
 
 
-def test_relays_tell_the_nodes_of_a_large_data_centre() -> None:
+def test_relays_announce_to_the_nodes_of_a_large_data_centre() -> None:
     async def scenario(world: World) -> None:
         for _ in range(MAX_DIRECT_NODES + 1):
             world.add_node(data_centre="b")
         await world.wait(world.serves_all, "all nodes know the groups")
 
-        def knows_all() -> bool:
-            return all(len(one.state.nodes) == 10 for one in world.nodes)
+        def all_know_all() -> bool:
+            return all(len(node.state.nodes) == 10 for node in world.nodes)
 
-        await world.wait(knows_all, "all nodes are known to all")
-        relays = [one for one in world.nodes if one.relays]
+        await world.wait(all_know_all, "all nodes know each other")
+        relays = [node for node in world.nodes if node.relays]
         assert_that(relays, HasLength(1))
         await relays[0].close()
         world.nodes.remove(relays[0])
@@ -329,18 +340,18 @@
         store.write_configuration(make_configuration(7, tenants=[]))
 
         def is_replaced() -> bool:
-            return any(one.relays for one in world.nodes) and all(
-                len(one.state.nodes) == 9 for one in world.nodes
+            return any(node.relays for node in world.nodes) and all(
+                len(node.state.nodes) == 9 for node in world.nodes
             )
 
         await world.wait(is_replaced, "another node relays")
-        leaders = [one for one in world.nodes if one.leads]
+        leaders = [node for node in world.nodes if node.leads]
         assert_that(leaders, Equals(world.nodes[:1]))
 
     run_world(scenario)
 
 
-def test_an_older_configuration_never_comes_back() -> None:
+def test_an_older_configuration_never_replaces_a_newer_one() -> None:
     async def scenario(world: World) -> None:
         store = world.site.store
         store.write_configuration(make_configuration(7, tenants=[]))
@@ -359,8 +370,10 @@
 def test_a_configuration_that_cannot_be_read_changes_nothing() -> None:
     async def scenario(world: World) -> None:
         store = world.site.store
-        broken = make_configuration(7, routes=[{"name": "half a route"}])
-        store.write_configuration(broken)
+        invalid_document = make_configuration(
+            7, routes=[{"name": "half a route"}]
+        )
+        store.write_configuration(invalid_document)
         store.topic("keyed.op").append("config", b"no json")
         store.topic("keyed.op").append("other", b"not ours")
         store.topic("keyed.servers").append("i-odd", b"{}")
@@ -379,25 +392,28 @@
 def test_reads_that_a_silent_store_forgot_are_made_anew(
     log_lines: list[str],
 ) -> None:
-    # They would end by themselves a second after the test has given up.
+    # Unless sent again, the lost reads end a second after the timeout of
+    # the test.
     async def scenario(world: World) -> None:
         store = world.site.store
         store.door.fault = StoreFault.DOWN
         await world.wait(
-            lambda: any("dependency-lost" in one for one in log_lines),
-            "a node that misses the store",
+            lambda: any("dependency-lost" in line for line in log_lines),
+            "a node without contact with the store",
         )
         store.door.fault = StoreFault.NONE
         store.write_configuration(make_configuration(7))
         await world.wait(
-            lambda: all(find_revision(world, one) == 7 for one in range(3)),
+            lambda: all(
+                find_revision(world, number) == 7 for number in range(3)
+            ),
             "revision 7 in force",
         )
 
     run_world(scenario, nodes=3)
 
 
-def test_groups_serve_on_while_the_store_is_away() -> None:
+def test_groups_keep_serving_while_the_store_is_unavailable() -> None:
     async def scenario(world: World) -> None:
         world.site.store.door.fault = StoreFault.BUSY
         for _ in range(5):
@@ -413,7 +429,7 @@
     async def scenario(world: World) -> None:
         world.site.store.door.fault = StoreFault.BUSY
         await world.wait(
-            lambda: any("store topic servers" in one for one in log_lines),
+            lambda: any("store topic servers" in line for line in log_lines),
             "a line that names the topic",
         )
         address = world.nodes[0].own.peer_address
@@ -431,12 +447,12 @@
 
 def test_a_leaving_server_gets_no_new_request() -> None:
     async def scenario(world: World) -> None:
-        first, second = list_plain(world)
+        first, second = list_plain_servers(world)
         first.leave()
         node = world.nodes[0]
         await world.wait(
             lambda: (
-                [one.server for one in node.state.view.servers]
+                [server.server for server in node.state.view.servers]
                 == [second.server]
             ),
             "the leaving server out of the view",
@@ -449,10 +465,10 @@
     run_world(scenario)
 
 
-def test_another_node_leads_when_the_leader_is_gone() -> None:
+def test_another_node_leads_after_the_leader_has_closed() -> None:
     async def scenario(world: World) -> None:
-        leader = next(one for one in world.nodes if one.leads)
-        other = next(one for one in world.nodes if not one.leads)
+        leader = next(node for node in world.nodes if node.leads)
+        other = next(node for node in world.nodes if not node.leads)
         await leader.close()
         await world.wait(lambda: other.leads, "another node leads")
         number = world.nodes.index(other)
@@ -464,7 +480,7 @@
         await world.wait(
             lambda: (
                 head.server
-                not in [one.server for one in other.state.view.groups]
+                not in [group.server for group in other.state.view.groups]
             ),
             "the lost group out of the view",
         )
@@ -472,49 +488,55 @@
     run_world(scenario, nodes=2)
 
 
-def test_a_node_does_not_overtake_its_own_claim() -> None:
+def test_a_restarted_node_does_not_conflict_with_its_own_claim() -> None:
     async def scenario(world: World) -> None:
         (node,) = world.nodes
         await node.close()
         world.nodes.clear()
-        late = world.restart_node(node)
-        await world.wait(lambda: late.leads, "it leads again")
+        restarted = world.restart_node(node)
+        await world.wait(
+            lambda: restarted.leads, "the restarted node leads again"
+        )
         assert_that(world.site.store.overtaken, Equals(0))
 
     run_world(scenario)
 
 
-def test_a_leader_that_stops_hands_over_while_it_still_runs() -> None:
+def test_a_stopping_leader_hands_over_while_it_still_runs() -> None:
     async def scenario(world: World) -> None:
-        leader = next(one for one in world.nodes if one.leads)
-        other = next(one for one in world.nodes if not one.leads)
+        leader = next(node for node in world.nodes if node.leads)
+        other = next(node for node in world.nodes if not node.leads)
         leader.state.is_stopping = True
         await world.wait(lambda: other.leads, "the other node leads")
-        await world.wait(lambda: not leader.leads, "the leader gave way")
+        await world.wait(lambda: not leader.leads, "the leader stepped down")
 
     run_world(scenario, nodes=2)
 
 
-def test_a_leader_that_stops_leads_on_while_the_store_is_away() -> None:
+def test_a_stopping_leader_leads_on_while_the_store_is_unavailable() -> None:
     async def scenario(world: World) -> None:
-        leader = next(one for one in world.nodes if one.leads)
-        others = [one for one in world.nodes if one is not leader]
+        leader = next(node for node in world.nodes if node.leads)
+        others = [node for node in world.nodes if node is not leader]
         world.site.store.door.fault = StoreFault.BUSY
         stopping = asyncio.ensure_future(leader.stop())
-        # It would be closed by now if it did not wait for another leader.
+        # Without the wait for another leader it would be closed by now.
         await asyncio.sleep(MIN_STOP_S + 0.5)
         assert_that(leader.leads, Is(True))
-        ages = [read_clock() - one.state.view_time for one in others]
+        ages = [read_clock() - node.state.view_time for node in others]
         assert_that(max(ages), LessThan(1.0))
-        # A node that starts now gets its configuration from the others.
-        restarted = others[1]
-        await restarted.close()
-        world.nodes.remove(restarted)
-        late = world.restart_node(restarted)
-        await world.wait(lambda: late.state.revision == 1, "a configuration")
+        # A node that starts now must get its configuration from other nodes.
+        closed = others[1]
+        await closed.close()
+        world.nodes.remove(closed)
+        restarted = world.restart_node(closed)
+        await world.wait(
+            lambda: restarted.state.revision == 1, "a configuration"
+        )
         world.site.store.door.fault = StoreFault.NONE
         await world.wait(
-            lambda: any(one.leads for one in world.nodes if one is not leader),
+            lambda: any(
+                node.leads for node in world.nodes if node is not leader
+            ),
             "another node leads",
         )
         await stopping
@@ -523,12 +545,14 @@
     run_world(scenario, nodes=3)
 
 
-def test_callers_are_told_the_nodes_that_take_them() -> None:
+def test_callers_get_the_addresses_of_all_serving_nodes() -> None:
     async def scenario(world: World) -> None:
         node = world.nodes[0]
-        wanted = sorted(one.own.callers_address for one in world.nodes)
+        expected = sorted(
+            serving_node.own.callers_address for serving_node in world.nodes
+        )
 
-        async def ask() -> dict[str, object]:
+        async def fetch_addresses() -> dict[str, object]:
             reply = await exchange(
                 node.directory_address,
                 b"GET /resolve?name=x&region=r&zone=a HTTP/1.1\r\n"
@@ -539,21 +563,22 @@
             answer: dict[str, object] = json.loads(body)
             return answer
 
-        answer = await ask()
-        while answer["addresses"] != wanted:
+        answer = await fetch_addresses()
+        while answer["addresses"] != expected:
             await asyncio.sleep(0.05)
-            answer = await ask()
+            answer = await fetch_addresses()
         assert_that(answer, Contains("ttl_s"))
 
     run_world(scenario, nodes=3)
 
 
-def test_a_node_that_stops_finishes_what_it_has() -> None:
+def test_a_stopping_node_finishes_its_requests() -> None:
     async def scenario(world: World) -> None:
         headers = world.make_headers(X_Token_Count="10,40")
         call = asyncio.ensure_future(world.call("/draft/x", headers=headers))
         await world.wait(
-            lambda: bool(world.find_runs(headers["X-Request-Id"])), "it runs"
+            lambda: bool(world.find_runs(headers["X-Request-Id"])),
+            "the request runs",
         )
         stopping = asyncio.ensure_future(world.nodes[0].stop())
         ready = await exchange(
@@ -561,12 +586,12 @@
             b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
         )
         assert_that(ready, Contains(b" 503 "))
-        late = await world.call("/draft/x")
-        assert_that(late.headers, Contains("X-Server-Stamp"))
-        assert_that(late.headers["Connection"], Equals("close"))
+        late_answer = await world.call("/draft/x")
+        assert_that(late_answer.headers, Contains("X-Server-Stamp"))
+        assert_that(late_answer.headers["Connection"], Equals("close"))
         answer = await call
-        whole = make_events(headers["X-Request-Id"], 40)
-        assert_that(answer.body, Equals(whole))
+        expected_body = make_events(headers["X-Request-Id"], 40)
+        assert_that(answer.body, Equals(expected_body))
         await stopping
 
     run_world(scenario)
