--- a/chervilrock/platform/engines.py
+++ b/chervilrock/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers and their reports, over HTTP."""
+"""Sends orders to backend servers and fetches their reports over HTTP."""
 
 from typing import Any
 
@@ -26,7 +26,7 @@
 from chervilrock.platform.headers import EXPECTED_SERVER
 from chervilrock.platform.servers import decode_membership, GroupField
 
-_REPLIES = {
+_REPLY_BY_STATUS = {
     200: OrderReply.DONE,
     202: OrderReply.STARTED,
     400: OrderReply.INVALID,
@@ -36,24 +36,24 @@
 }
 
 
-class _Report(msgspec.Struct):
+class _ReportBody(msgspec.Struct):
     group: GroupField | None = None
     staged: list[str] = []
-    sequence: int = 0  # of the orders obeyed, not of the reports
+    sequence: int = 0  # counts orders carried out, not reports
     running: int = 0
     waiting: int = 0
     pace: float = 1.0
-    born: int = 0  # Unix milliseconds of its start
+    born: int = 0  # start of the server, in Unix milliseconds
 
 
-_REPORT_DECODER = msgspec.json.Decoder(_Report)
+_REPORT_DECODER = msgspec.json.Decoder(_ReportBody)
 
 
 class HttpEngineControl(EngineControl):
-    """Calls the servers over HTTP."""
+    """Control of the backend servers over HTTP."""
 
     def __init__(self, *, client: HttpClient) -> None:
-        """Use a client."""
+        """Create a control that sends its requests by a client."""
         self._client = client
 
     async def send_order(
@@ -81,12 +81,12 @@
             headers={EXPECTED_SERVER: server.server},
         )
         return answer.bind(
-            lambda one: decode_success(_REPORT_DECODER, one)
+            lambda success: decode_success(_REPORT_DECODER, success)
         ).map(_make_report)
 
 
 def encode_order(order: Order) -> dict[str, Any]:
-    """Return the body of an order."""
+    """Return the request body of an order."""
     match order:
         case Join():
             body = {"op": "join", **order._asdict()}
@@ -104,14 +104,14 @@
 
 
 def _decode_reply(answer: HttpAnswer) -> Result[OrderReply, PlatformError]:
-    reply = _REPLIES.get(answer.status)
+    reply = _REPLY_BY_STATUS.get(answer.status)
     if reply is None:
-        message = f"status {answer.status}"
+        message = f"unexpected status {answer.status}"
         return Failure(PlatformError(PlatformErrorKind.BAD_ANSWER, message))
     return Success(reply)
 
 
-def _make_report(report: _Report) -> ServerReport:
+def _make_report(report: _ReportBody) -> ServerReport:
     return ServerReport(
         membership=decode_membership(report.group),
         staged=tuple(report.staged),
--- a/chervilrock/platform/headers.py
+++ b/chervilrock/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers of requests and answers, decoded and encoded."""
+"""Decodes and encodes the headers of requests and answers."""
 
 from collections.abc import Iterable, Mapping
 import re
@@ -10,31 +10,31 @@
     StatedLimit,
 )
 
-Pairs = tuple[tuple[str, str], ...]
+HeaderPairs = tuple[tuple[str, str], ...]
 
 EXPECTED_SERVER = "X-Expect-Instance"
 
 _REQUEST_ID = "x-request-id"
-_KEY = "api-key"
-_DEADLINE = "x-deadline-ms"  # how long the caller waits, no point in time
+_API_KEY = "api-key"
+_DEADLINE_MS = "x-deadline-ms"  # the caller's timeout, not a point in time
 _MODEL = "x-model"
-_TOKENS = "x-token-count"  # prompt and greatest output, with a comma
+_TOKEN_COUNTS = "x-token-count"  # length of the prompt, comma, maximum output
 _LAST_EVENT = "last-event-id"
-_WORKSPACE = "x-tenant"
+_TENANT = "x-tenant"
 _URGENCY = "x-request-urgency"
-_RECEIPT = "x-server-stamp"
-_NOT_RUN = "x-not-executed"
-_LIMIT = "server-limit"
+_SERVER_STAMP = "x-server-stamp"
+_NOT_EXECUTED = "x-not-executed"
+_SERVER_LIMIT = "server-limit"
 _MS_PER_S = 1000.0
 
 _MISDIRECTED = 421
-_NOT_RUN_STATUSES = frozenset({_MISDIRECTED})
+_NOT_EXECUTED_STATUSES = frozenset({_MISDIRECTED})
 _DECIMAL = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)
-_MAX_LIMIT = 1e9  # requests a second; whatever is greater limits nothing
-_MAX_SHOWN = 40  # characters of a value that is no number
+_MAX_LIMIT_PER_S = 1e9  # requests per second; a greater limit has no effect
+_MAX_SHOWN_CHARS = 40  # characters kept of a malformed value
 _EVENT_STREAM = "text/event-stream"
 
-_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "content-length",
@@ -49,30 +49,30 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only."""
+"""Headers of a single connection, which are not forwarded."""
 
-_SET_BY_NODES = frozenset(
+_NOT_FORWARDED = frozenset(
     {
         EXPECTED_SERVER.lower(),
-        _DEADLINE,
-        _KEY,
+        _DEADLINE_MS,
+        _API_KEY,
         _LAST_EVENT,
         _URGENCY,
-        _WORKSPACE,
+        _TENANT,
     }
 )
-"""Headers of callers that are replaced or not passed on."""
+"""Headers of callers that nodes replace or do not forward."""
 
 
 def read_request(pairs: Iterable[tuple[str, str]]) -> RequestFacts:
-    """Return what the headers of a request tell."""
+    """Return the facts that the headers of a request state."""
     values = {name.lower(): value.strip() for name, value in pairs}
-    prompt, _, output = values.get(_TOKENS, "").partition(",")
-    deadline = _parse_count(values.get(_DEADLINE, ""))
+    prompt, _, output = values.get(_TOKEN_COUNTS, "").partition(",")
+    deadline_ms = _parse_count(values.get(_DEADLINE_MS, ""))
     return RequestFacts(
         request_id=values.get(_REQUEST_ID, ""),
-        key=values.get(_KEY, ""),
-        deadline_s=None if deadline is None else deadline / _MS_PER_S,
+        key=values.get(_API_KEY, ""),
+        deadline_s=None if deadline_ms is None else deadline_ms / _MS_PER_S,
         model=values.get(_MODEL, ""),
         prompt_tokens=_parse_count(prompt) or 0,
         output_tokens=_parse_count(output) or 0,
@@ -82,11 +82,11 @@
 
 def make_forwarded_headers(
     pairs: Iterable[tuple[str, str]], forwarded: ForwardedFields
-) -> Pairs:
-    """Return the headers of a request as a server gets them."""
-    kept = list(_drop_connection_headers(pairs, _SET_BY_NODES))
-    milliseconds = max(1, int(forwarded.remaining_s * _MS_PER_S))
-    kept.append(("X-Deadline-Ms", str(milliseconds)))
+) -> HeaderPairs:
+    """Return the headers of a request as forwarded to a server."""
+    kept = list(_drop_hop_by_hop(pairs, _NOT_FORWARDED))
+    remaining_ms = max(1, int(forwarded.remaining_s * _MS_PER_S))
+    kept.append(("X-Deadline-Ms", str(remaining_ms)))
     kept.append((EXPECTED_SERVER, forwarded.server))
     if forwarded.workspace:
         kept.append(("X-Tenant", forwarded.workspace))
@@ -98,14 +98,14 @@
 
 
 def read_answer(status: int, pairs: Iterable[tuple[str, str]]) -> AnswerFacts:
-    """Return what the head of a server's answer tells."""
+    """Return the facts that the head of a server's answer states."""
     values = {name.lower(): value.strip() for name, value in pairs}
     content_type = values.get("content-type", "").lower()
     return AnswerFacts(
         status=status,
         request_id=values.get(_REQUEST_ID, ""),
-        has_receipt=bool(values.get(_RECEIPT)),
-        is_not_run=_NOT_RUN in values or status in _NOT_RUN_STATUSES,
+        has_receipt=bool(values.get(_SERVER_STAMP)),
+        is_not_run=_NOT_EXECUTED in values or status in _NOT_EXECUTED_STATUSES,
         is_encoded="content-encoding" in values,
         is_stream=content_type.startswith(_EVENT_STREAM),
         limit=None if status == _MISDIRECTED else _read_limit(values),
@@ -113,38 +113,43 @@
 
 
 def _read_limit(values: Mapping[str, str]) -> StatedLimit:
-    """Return what the headers of an answer say of a limit."""
-    text = values.get(_LIMIT)
+    """Return the rate limit that the headers of an answer state."""
+    text = values.get(_SERVER_LIMIT)
     if text is None:
         return StatedLimit(None)
     if not _DECIMAL.fullmatch(text):
-        return StatedLimit(None, unreadable=text[:_MAX_SHOWN] or "nothing")
-    return StatedLimit(min(float(text), _MAX_LIMIT))
+        return StatedLimit(
+            None, unreadable=text[:_MAX_SHOWN_CHARS] or "nothing"
+        )
+    return StatedLimit(min(float(text), _MAX_LIMIT_PER_S))
 
 
-def make_caller_headers(pairs: Iterable[tuple[str, str]]) -> Pairs:
-    """Return the headers of a server's answer as the caller gets them."""
-    return tuple(_drop_connection_headers(pairs, frozenset()))
+def make_caller_headers(pairs: Iterable[tuple[str, str]]) -> HeaderPairs:
+    """Return the headers of a server's answer as sent to the caller."""
+    return tuple(_drop_hop_by_hop(pairs, frozenset()))
 
 
-def _drop_connection_headers(
-    pairs: Iterable[tuple[str, str]], others: frozenset[str]
+def _drop_hop_by_hop(
+    pairs: Iterable[tuple[str, str]], excluded: frozenset[str]
 ) -> Iterable[tuple[str, str]]:
-    """Yield the headers that go on, without those of one connection."""
-    listed = list(pairs)
-    named = {
+    """Yield the headers to forward, without hop-by-hop headers and `excluded`.
+
+    Headers that `Connection` lists are hop-by-hop as well.
+    """
+    all_pairs = list(pairs)
+    connection_tokens = {
         token.strip().lower()
-        for name, value in listed
+        for name, value in all_pairs
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    dropped = _ONE_CONNECTION | others | named
-    for name, value in listed:
+    dropped = _HOP_BY_HOP | excluded | connection_tokens
+    for name, value in all_pairs:
         if name.lower() not in dropped:
             yield name, value
 
 
 def _parse_count(text: str) -> int | None:
-    """Return a number of decimal digits, None for anything else."""
+    """Return the value of ASCII decimal digits, None for anything else."""
     text = text.strip()
     return int(text) if text.isascii() and text.isdigit() else None
--- a/chervilrock/platform/operator.py
+++ b/chervilrock/platform/operator.py
@@ -1,4 +1,4 @@
-"""Decodes the configuration that the operator writes into the store."""
+"""Decodes the site configuration that the operator writes to the store."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -19,7 +19,7 @@
 KEY = "config"
 
 _MS_PER_S = 1000.0
-_KINDS = {
+_ROUTE_KINDS = {
     "streaming": RouteKind.STREAM,
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.ONCE,
@@ -39,7 +39,7 @@
     timeout_ms: float
     service: str = ""
     backends: list[_Target] = []
-    slo_target_ms: float = 0.0  # time to the first event on streams
+    slo_target_ms: float = 0.0  # streams: time to the first event
     gap_aim_ms: float = 0.0
     priority: int = 5
     max_attempts: int = 1
@@ -50,13 +50,13 @@
 class _Model(msgspec.Struct):
     name: str
     size: int = 1
-    share: float = 1.0  # of the work at the start, not of the requests
+    share: float = 1.0  # of the initial workload, not of the requests
     pace: float = 1.0
     load_s: float = 0.0
     warm_s: float = 0.0
 
 
-class _Usual(msgspec.Struct):
+class _UsualRequest(msgspec.Struct):
     prompt: float = 0.0  # mean number of tokens
 
 
@@ -68,11 +68,11 @@
     stride: int = 1
     read_per_s: float = 10000.0
     chunk: int = 2048
-    usual: _Usual = msgspec.field(default_factory=_Usual)
+    usual: _UsualRequest = msgspec.field(default_factory=_UsualRequest)
     loads_per_s: float = 1.0
     loads_at_once: int = 1
     form_ms: float = 0.0
-    keeps: int = 1  # models whose weights stay on a host
+    keeps: int = 1  # models whose weights a host keeps staged
 
 
 class _Service(msgspec.Struct):
@@ -102,13 +102,15 @@
 
 
 def decode_configuration(document: bytes) -> Result[SiteConfiguration, str]:
-    """Returns a configuration, or what is wrong with the document."""
+    """Returns the configuration, or a description of the first error."""
     try:
         decoded = _DECODER.decode(document)
         routes = tuple(_make_route(route) for route in decoded.routes)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
         return Failure(str(error))
-    services = {one.name: _make_service(one) for one in decoded.services}
+    services = {
+        service.name: _make_service(service) for service in decoded.services
+    }
     return Success(
         SiteConfiguration(
             revision=decoded.version,
@@ -124,19 +126,21 @@
     """Translates a route.
 
     Raises:
-      ValueError: the route has no service, or a kind that is not known.
+      ValueError: the route names no service, or its kind is unknown.
     """
-    kind = _KINDS.get(route.route_type)
+    kind = _ROUTE_KINDS.get(route.route_type)
     if kind is None:
-        raise ValueError(f"route {route.name}: kind {route.route_type!r}")
+        raise ValueError(
+            f"route {route.name}: unknown kind {route.route_type!r}"
+        )
     targets = route.backends or [_Target(service=route.service)]
     services = tuple(
-        WeightedService(service=one.service, weight=one.weight)
-        for one in targets
-        if one.service
+        WeightedService(service=target.service, weight=target.weight)
+        for target in targets
+        if target.service
     )
     if not services:
-        raise ValueError(f"route {route.name}: no service")
+        raise ValueError(f"route {route.name}: names no service")
     return Route(
         name=route.name,
         host=route.host.lower(),
@@ -172,7 +176,7 @@
             loads_per_s=engine.loads_per_s,
             loads_at_once=engine.loads_at_once,
             staged_models=engine.keeps,
-            models={one.name: _make_model(one) for one in engine.models},
+            models={model.name: _make_model(model) for model in engine.models},
         ),
     )
 
@@ -189,7 +193,7 @@
 
 
 def _make_keys(tenants: list[_Tenant] | None) -> dict[str, Workspace] | None:
-    """Returns workspaces by key; None when the document names none."""
+    """Returns workspaces by API key; None if the document has no tenants."""
     if tenants is None:
         return None
     keys: dict[str, Workspace] = {}
--- a/chervilrock/platform/servers.py
+++ b/chervilrock/platform/servers.py
@@ -1,4 +1,4 @@
-"""Decodes the entries by which backend servers register in the store."""
+"""Decodes the entries that register backend servers in the store."""
 
 import ipaddress
 
@@ -15,13 +15,13 @@
 
 MAX_PORT = 65535
 
-_LEAVING = "draining"
-_SERVER_STATES = frozenset({"ready", _LEAVING})
-_STATES = {state.value: state for state in MemberState}
+_DRAINING = "draining"
+_SERVER_STATES = frozenset({"ready", _DRAINING})
+_MEMBER_STATES = {state.value: state for state in MemberState}
 
 
 class GroupField(msgspec.Struct):
-    """The group of a server, in its entry and in its report."""
+    """Group membership of a server, in its entry and in its report."""
 
     name: str = ""
     epoch: int = 0
@@ -36,34 +36,34 @@
     version: str  # of the software, not of the weights
     state: str
     slots: int
-    sequence: int  # of the writes of this entry
+    sequence: int  # counts the writes of this entry
     warmup_left_ms: float
     domain: str | int = ""
     staged: list[str] = []
     group: GroupField | None = None
-    born: int = 0  # Unix milliseconds of its start
+    born: int = 0  # start of the server, in Unix milliseconds
 
 
 _DECODER = msgspec.json.Decoder(_Entry)
 
 
 def decode_server(server: str, entry: bytes) -> Result[BackendServer, str]:
-    """Returns a backend server, or what is wrong with its entry.
+    """Returns a backend server, or a description of the error in its entry.
 
-    Others write such entries as well; one that is not understood in full
-    names no server.
+    Other programs write to the topic as well, so an entry that is not valid
+    in full is rejected.
 
     Args:
-      server: key of the entry.
-      entry: the value.
+      server: name of the server, which is the key of the entry.
+      entry: value of the entry, in JSON.
     """
     try:
         decoded = _DECODER.decode(entry)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Failure(str(error))
-    fault = _find_fault(decoded)
-    if fault:
-        return Failure(fault)
+    problem = _find_problem(decoded)
+    if problem:
+        return Failure(problem)
     return Success(
         BackendServer(
             server=server,
@@ -71,7 +71,7 @@
             address=decoded.address,
             data_centre=decoded.zone,
             domain=str(decoded.domain),
-            is_leaving=decoded.state == _LEAVING,
+            is_leaving=decoded.state == _DRAINING,
             slots=max(1, decoded.slots),
             staged=tuple(decoded.staged),
             membership=decode_membership(decoded.group),
@@ -81,27 +81,27 @@
     )
 
 
-def _find_fault(entry: _Entry) -> str:
-    """Returns what an entry says that no server does, empty for nothing."""
+def _find_problem(entry: _Entry) -> str:
+    """Returns a description of the first invalid field, empty if none is."""
     if entry.state not in _SERVER_STATES:
-        return f"state {entry.state!r}"
+        return f"unknown server state {entry.state!r}"
     group = entry.group
-    if group is not None and group.name and group.state not in _STATES:
-        return f"state {group.state!r} of a group"
+    if group is not None and group.name and group.state not in _MEMBER_STATES:
+        return f"unknown state {group.state!r} of a group"
     ip, _, port = entry.address.rpartition(":")
     try:
         ipaddress.IPv4Address(ip)
     except ValueError as error:
         return f"address: {error}"
     is_port = port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
-    return "" if is_port else f"port {port!r}"
+    return "" if is_port else f"invalid port {port!r}"
 
 
 def decode_membership(group: GroupField | None) -> Membership | None:
-    """Returns a membership; a group without a state is none."""
+    """Returns the membership, None without a group name or a known state."""
     if group is None or not group.name:
         return None
-    state = _STATES.get(group.state)
+    state = _MEMBER_STATES.get(group.state)
     if state is None:
         return None
     return Membership(
--- a/chervilrock/platform/settings.py
+++ b/chervilrock/platform/settings.py
@@ -13,34 +13,34 @@
 
 
 class SettingFinding(NamedTuple):
-    """Something wrong with a field of the settings file."""
+    """An invalid or missing field of the settings file."""
 
     field: str
     reason: str
 
 
 class NodeSettings(NamedTuple):
-    """What a process is told at its start.
+    """Settings that a process reads at its start.
 
     Attributes:
       node: name of the node.
-      data_centre: where the host stands.
-      ip: IP number of the host.
+      data_centre: data centre of the host.
+      ip: IP address of the host.
       callers_address: IP:port for requests of callers.
-      ready_address: IP:port for the question whether the node is ready.
-      directory_address: IP:port for the question which addresses to use.
-      peer_port: port for exchanges between nodes.
+      ready_address: IP:port for readiness checks.
+      directory_address: IP:port for requests for the addresses of nodes.
+      peer_port: port for messages between nodes.
       store_address: IP:port of the store.
-      metrics_port: port for metrics and the dump of the state; 0 for none.
+      metrics_port: port for metrics and the state dump; 0 for none.
       region: region of the data centre.
       data_centres: data centres of the installation and their regions.
-      repeat_ratio: repeats allowed for each request of a service.
-      repeat_slack: repeats allowed in a window besides.
+      repeat_ratio: retries allowed per request of a service.
+      repeat_slack: further retries allowed per window.
       repeat_window_s: length of that window in seconds.
-      stop_within_s: time from the signal to stop until the process is killed.
-      longest_address_age_s: longest time for which callers keep addresses.
-      cores: processor time that the process gets, in cores.
-      stall_s: time after which a group without one of its hosts breaks off.
+      stop_within_s: time from the stop signal until the process is killed.
+      longest_address_age_s: longest time for which callers cache addresses.
+      cores: processor time available to the process, in cores.
+      stall_s: time after which a group that lost a host aborts its work.
     """
 
     node: str
@@ -64,7 +64,7 @@
 
 
 class _Fields:
-    """Reads fields of the file and collects what is wrong with them."""
+    """Reads fields of the file and collects findings on invalid ones."""
 
     def __init__(self, *, values: Mapping[str, Any]) -> None:
         self._values = values
@@ -74,14 +74,14 @@
         value = self._find(path)
         if isinstance(value, str) and value:
             return value
-        self._report(path, value, "is no text")
+        self._add_finding(path, value, "is not a non-empty string")
         return ""
 
     def address(self, path: str) -> str:
         value = self.text(path)
         _, colon, port = value.rpartition(":")
         if value and not (colon and port.isdigit()):
-            self._report(path, value, "is not IP:port")
+            self._add_finding(path, value, "is not IP:port")
         return value
 
     def number(self, path: str, default: float | None = None) -> float:
@@ -91,23 +91,23 @@
         if isinstance(value, (int, float)) and not isinstance(value, bool):
             if value >= 0:
                 return float(value)
-            self._report(path, value, "is negative")
+            self._add_finding(path, value, "is negative")
             return 0.0
-        self._report(path, value, "is no number")
+        self._add_finding(path, value, "is not a number")
         return 0.0
 
     def first_number(self, path: str) -> int:
         value = self._find(path)
         if isinstance(value, list) and value and isinstance(value[0], int):
             return value[0]
-        self._report(path, value, "is no list of ports")
+        self._add_finding(path, value, "is not a list of ports")
         return 0
 
     def table(self, path: str) -> Mapping[str, str]:
         value = self._find(path)
         if isinstance(value, dict):
             return {str(key): str(item) for key, item in value.items()}
-        self._report(path, value, "is no table")
+        self._add_finding(path, value, "is not a table")
         return {}
 
     def _find(self, path: str) -> Any:
@@ -118,7 +118,7 @@
             value = value[part]
         return value
 
-    def _report(self, path: str, value: object, problem: str) -> None:
+    def _add_finding(self, path: str, value: object, problem: str) -> None:
         reason = "is missing" if value is None else f"{value!r} {problem}"
         self.findings.append(SettingFinding(field=path, reason=reason))
 
@@ -126,11 +126,11 @@
 def read_settings(
     path: str, *, metrics_port: int = 0
 ) -> Result[NodeSettings, tuple[SettingFinding, ...]]:
-    """Returns the settings in a file, or all that is wrong with them.
+    """Returns the settings in a file, or a finding for each invalid field.
 
     Args:
       path: path of the file.
-      metrics_port: port for metrics, which the file does not name.
+      metrics_port: port for metrics, which is not set in the file.
     """
     try:
         with open(path, "rb") as file:
@@ -143,7 +143,7 @@
 def decode_settings(
     values: Mapping[str, Any], *, metrics_port: int = 0
 ) -> Result[NodeSettings, tuple[SettingFinding, ...]]:
-    """Returns the settings of a decoded file, or all that is wrong."""
+    """Returns the settings, or a finding for each invalid field."""
     fields = _Fields(values=values)
     settings = NodeSettings(
         node=fields.text("node_name"),
@@ -162,7 +162,7 @@
         repeat_window_s=fields.number("bounds.budget_window_s", 10.0),
         stop_within_s=fields.number("bounds.grace_s", 8.0),
         longest_address_age_s=fields.number("bounds.ttl_max_s", 5.0),
-        # The share is that of a core as fast as all cores of the host.
+        # The share is a fraction of all cores of the host taken together.
         cores=fields.number("limits.cpu_share", 1.0)
         * fields.number("limits.cores", 1.0),
         stall_s=fields.number("bounds.stall_ms", 6000.0) / _MS_PER_S,
--- a/chervilrock/platform/store.py
+++ b/chervilrock/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: keyed topics of one partition."""
+"""Client of the platform's store, for keyed topics of one partition."""
 
 import base64
 import struct
@@ -24,23 +24,23 @@
 from chervilrock.platform import operator, servers
 
 TIMEOUT_S = 1.0
-"""Longest time for a call that does not wait; the store usually answers in
-4 ms, and a slow one in some hundred."""
+"""Timeout of a call without a long poll; the store usually answers within
+4 ms, and a slow one within some hundred milliseconds."""
 
 PAGE_KB = 1024
-"""Most data of one read."""
+"""Maximum size of the answer to one read."""
 
-_NAMES = {
+_TOPIC_NAMES = {
     Topic.CONFIGURATION: operator.TOPIC,
     Topic.SERVERS: servers.TOPIC,
     Topic.NODES: "keyed.chervilrock",
 }
-_ERA = "Store-Era"  # rises whenever the store comes back from a copy
+_ERA_HEADER = "Store-Era"  # rises with each restore from a backup
 _GONE = 410
-_END_DIFFERS = 412
+_UNEXPECTED_END = 412
 _MS_PER_S = 1000
-_LENGTH = struct.Struct(">I")
-_OFFSETS = struct.Struct(">QQ")
+_RECORD_LENGTH = struct.Struct(">I")
+_PAGE_OFFSETS = struct.Struct(">QQ")
 
 
 class _Item(msgspec.Struct):
@@ -74,12 +74,12 @@
 
 
 class StoreClient(KeyedStore):
-    """Calls the store over HTTP."""
+    """Client of the store over HTTP."""
 
     def __init__(self, *, client: HttpClient, address: str) -> None:
-        """Use a client for the store at an address."""
+        """Create a client for the store at an address."""
         self._client = client
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._era: int | None = None
 
     async def fetch_newest(
@@ -98,15 +98,17 @@
             newest, era = page.unwrap()
             first_era = era if first_era is None else first_era
             if era != first_era:
-                message = "the store came back from a copy between two pages"
+                message = (
+                    "the store was restored from a backup between two pages"
+                )
                 return Failure(
                     PlatformError(PlatformErrorKind.BAD_ANSWER, message)
                 )
-            # Pages are no snapshot: what changes while they are read is read
-            # again from the end that the first of them told.
+            # Pages are no snapshot: records that change while the pages are
+            # read are read again from the end that the first page gives.
             end = newest.end if end is None else end
             for item in newest.items:
-                record = _read_item(item)
+                record = _decode_item(item)
                 if record is None:
                     unreadable.append(item.offset)
                 else:
@@ -120,13 +122,13 @@
     async def _fetch_page(
         self, topic: Topic, after: str
     ) -> Result[_NewestPage, PlatformError]:
-        query = {"topic": _NAMES[topic], "part": "0"}
+        query = {"topic": _TOPIC_NAMES[topic], "part": "0"}
         if after:
             query["after"] = after
         answer = await self._call("GET", "/log-newest", query, TIMEOUT_S)
         era = self._era or 0
         return answer.bind(
-            lambda one: decode_success(_NEWEST_DECODER, one)
+            lambda success: decode_success(_NEWEST_DECODER, success)
         ).map(lambda newest: _NewestPage(newest, era))
 
     async def read(
@@ -134,7 +136,7 @@
     ) -> Result[KeyedPage | None, PlatformError]:
         """See base class."""
         query = {
-            "topic": _NAMES[topic],
+            "topic": _TOPIC_NAMES[topic],
             "part": "0",
             "from": str(start),
             "max_kb": str(PAGE_KB),
@@ -144,19 +146,19 @@
         if isinstance(answer, Failure):
             return answer
         era = self._era or 0
-        whole = answer.unwrap()
-        if whole.status == _GONE:
+        http_answer = answer.unwrap()
+        if http_answer.status == _GONE:
             return Success(None)
-        checked = check_status(whole)
+        checked = check_status(http_answer)
         if isinstance(checked, Failure):
             return checked
-        return parse_page(whole.body, start, era)
+        return parse_page(http_answer.body, start, era)
 
     async def append(
         self, topic: Topic, key: str, value: bytes, expected_end: int | None
     ) -> Result[int | None, PlatformError]:
         """See base class."""
-        query = {"topic": _NAMES[topic], "part": "0"}
+        query = {"topic": _TOPIC_NAMES[topic], "part": "0"}
         if expected_end is not None:
             query["at"] = str(expected_end)
         answer = await self._call(
@@ -168,11 +170,11 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status == _END_DIFFERS:
+        http_answer = answer.unwrap()
+        if http_answer.status == _UNEXPECTED_END:
             return Success(None)
-        return decode_success(_APPENDED_DECODER, whole).map(
-            lambda one: one.offset
+        return decode_success(_APPENDED_DECODER, http_answer).map(
+            lambda appended: appended.offset
         )
 
     async def _call(
@@ -183,7 +185,7 @@
         timeout_s: float,
         body: bytes | None = None,
     ) -> Result[HttpAnswer, PlatformError]:
-        url = f"{self._base}{path}?{urllib.parse.urlencode(query)}"
+        url = f"{self._base_url}{path}?{urllib.parse.urlencode(query)}"
         answer = await self._client.request(
             method,
             url,
@@ -192,16 +194,17 @@
             headers={"Content-Type": "application/octet-stream"}
             if body is not None
             else None,
-            wanted_header=_ERA,
+            wanted_header=_ERA_HEADER,
         )
         return answer.bind(self._check_era)
 
     def _check_era(
         self, answer: HttpAnswer
     ) -> Result[HttpAnswer, PlatformError]:
-        """Take the era of an answer; one without an era cannot be trusted.
+        """Record the era of an answer; reject an older or malformed one.
 
-        A store that has never told any has not come back from a copy.
+        An answer without an era is rejected as well, unless none had one so
+        far: such a store has never been restored from a backup.
         """
         text = answer.header
         if not text and self._era is None:
@@ -215,18 +218,18 @@
 
 
 def encode_record(key: str, value: bytes) -> bytes:
-    """Return a keyed record as the store takes it."""
+    """Return a keyed record in the format of the store."""
     name = key.encode()
     content = bytes((len(name),)) + name + value
-    return _LENGTH.pack(len(content)) + content
+    return _RECORD_LENGTH.pack(len(content)) + content
 
 
 def parse_page(
     body: bytes, start: int, era: int = 0
 ) -> Result[KeyedPage | None, PlatformError]:
-    """Parse the answer to a read that began at an offset, and its era."""
+    """Parse the answer to a read from an offset, in a given era."""
     try:
-        page = _split(body)
+        page = _split_page(body)
     except struct.error as error:
         message = f"malformed page: {error}"
         return Failure(PlatformError(PlatformErrorKind.BAD_ANSWER, message))
@@ -236,7 +239,8 @@
         try:
             records.append(_parse_record(content, offset))
         except (IndexError, UnicodeDecodeError):
-            # The others hold; failing the page stopped all reading for good.
+            # The other records are valid: rejecting the page would stop
+            # all reading at this record forever.
             unreadable.append(offset)
     next_offset = start + len(page.records)
     return Success(
@@ -244,8 +248,8 @@
     )
 
 
-def _read_item(item: _Item) -> KeyedRecord | None:
-    """Return a newest record, None when its value is no base64."""
+def _decode_item(item: _Item) -> KeyedRecord | None:
+    """Return the newest record of a key, None if its value is not base64."""
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
@@ -253,20 +257,20 @@
     return KeyedRecord(key=item.key, value=value, offset=item.offset)
 
 
-def _split(body: bytes) -> _RawPage:
+def _split_page(body: bytes) -> _RawPage:
     """Split a page into records.
 
     Raises:
-      struct.error: a record is cut off.
+      struct.error: a record or the head of the page is truncated.
     """
-    end, _first = _OFFSETS.unpack_from(body)
-    position = _OFFSETS.size
+    end, _first = _PAGE_OFFSETS.unpack_from(body)
+    position = _PAGE_OFFSETS.size
     records = []
     while position < len(body):
-        (length,) = _LENGTH.unpack_from(body, position)
-        position += _LENGTH.size
+        (length,) = _RECORD_LENGTH.unpack_from(body, position)
+        position += _RECORD_LENGTH.size
         if position + length > len(body):
-            raise struct.error("a record is cut off")
+            raise struct.error("a record is truncated")
         records.append(body[position : position + length])
         position += length
     return _RawPage(records=tuple(records), end=end)
@@ -276,12 +280,12 @@
     """Parse a keyed record.
 
     Raises:
-      IndexError: it is shorter than its key.
-      UnicodeDecodeError: its key is no text.
+      IndexError: the record is shorter than the length of its key.
+      UnicodeDecodeError: the key is not valid UTF-8.
     """
     length = content[0]
     if len(content) < 1 + length:
-        raise IndexError("a key is cut off")
+        raise IndexError("a key is truncated")
     return KeyedRecord(
         key=content[1 : 1 + length].decode(),
         value=content[1 + length :],
