--- a/chervilrock/events.py
+++ b/chervilrock/events.py
@@ -1,12 +1,12 @@
-"""Numbered log events and the only way to log them.
+"""Logging of numbered events.
 
-Every log line of the system is one member of `Event`. `docs/events.md`
-explains each of them to operators; a test holds that both agree. A line is
-written either as text,
+Every log line of the system is a member of `Event` and is logged by `emit`.
+`docs/events.md` explains each event to operators; a test checks that both
+agree. A line is written either as text,
 
     2026-01-31T12:00:00.000+00:00 INFO E1001 node-started node=a address=..
 
-or as one JSON object with the same values and a sentence in `message`.
+or as a JSON object with the same values and a sentence in `message`.
 """
 
 import enum
@@ -25,18 +25,20 @@
 
 __all__ = ["Event", "Level", "LogFormat", "configure_logging", "emit"]
 
-PLAIN = frozenset(string.ascii_letters + string.digits + "_.:/-+@,%[]()*")
+UNQUOTED_CHARACTERS = frozenset(
+    string.ascii_letters + string.digits + "_.:/-+@,%[]()*"
+)
 
 
 class LogFormat(enum.StrEnum):
-    """How log lines are written."""
+    """Format of log lines."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class _Output:
-    """Where this process logs; one for each process, like loguru's logger."""
+    """Log level and strictness of this process; global like loguru's logger."""
 
     level: Level = Level.DEBUG
     strict: bool = True
@@ -50,9 +52,9 @@
       **fields: exactly the fields that the template of the event names
 
     Raises:
-      ValueError: the fields are wrong, and `configure_logging` has not been
-        called, as in tests. In a running process `EVENT_MALFORMED` is logged
-        besides, for a wrong log line must not stop a request.
+      ValueError: the fields do not match and logging is strict, as it is
+        before `configure_logging`. Otherwise `EVENT_MALFORMED` is logged as
+        well, because a malformed log line must not stop a request.
     """
     if fields.keys() != event.fields:
         _report_mismatch(event, fields)
@@ -63,7 +65,7 @@
 
 
 def render_text(event: Event, fields: dict[str, Any]) -> str:
-    """Returns number, name and fields of an event as one line of text."""
+    """Returns number, name and fields of an event as a line of text."""
     parts = [f"E{event.number} {event.title}"]
     for name, value in fields.items():
         parts.append(f"{name}={quote(str(value))}")
@@ -71,18 +73,18 @@
 
 
 def quote(value: str) -> str:
-    """Returns a value so that it stays one word of one line."""
-    if value and PLAIN.issuperset(value):
+    """Returns a value as is, or in JSON quotes if it has unsafe characters."""
+    if value and UNQUOTED_CHARACTERS.issuperset(value):
         return value
     return msgspec.json.encode(value).decode()
 
 
 def render_json(event: Event, fields: dict[str, Any], time: str) -> str:
-    """Returns an event as a JSON object in one line.
+    """Returns an event as a JSON object on one line.
 
     Args:
       event: the event
-      fields: its values; those that JSON has no form for become strings
+      fields: its values; those without a JSON representation become strings
       time: time of the event in ISO 8601
     """
     line = {
@@ -104,20 +106,20 @@
     *,
     strict: bool = False,
 ) -> None:
-    """Sends the log lines of this process to one sink.
+    """Configures the format, level and sink of all log lines of this process.
 
     Messages of libraries that use the logging module of the standard library
-    become `LIBRARY_MESSAGE` events from WARNING on.
+    become `LIBRARY_MESSAGE` events if their level is WARNING or higher.
 
     Args:
       log_format: a value of `LogFormat`
-      level: name of the least `Level` that is written
-      sink: an open text file; standard error when missing
-      strict: whether `emit` raises on wrong fields
+      level: name of the lowest `Level` that is written
+      sink: an open text file; standard error by default
+      strict: whether `emit` raises an error if fields do not match
 
     Raises:
-      ValueError: there is no such format.
-      KeyError: there is no such level.
+      ValueError: the format is unknown.
+      KeyError: the level is unknown.
     """
     formats = {LogFormat.TEXT: _format_text, LogFormat.JSON: _format_json}
     chosen = formats[LogFormat(log_format)]
@@ -139,10 +141,10 @@
 
 
 class _LibraryHandler(logging.Handler):
-    """Turns messages of libraries into events."""
+    """Logs messages of libraries as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Logs one message of a library."""
+        """Logs a message of a library."""
         text = record.getMessage()
         if record.exc_info and record.exc_info[1] is not None:
             text = f"{text}: {record.exc_info[1]!r}"
@@ -150,7 +152,7 @@
 
 
 def _report_mismatch(event: Event, fields: dict[str, Any]) -> None:
-    """Raises or logs that an event has wrong fields."""
+    """Raises or logs an error about the fields of an event."""
     difference = ",".join(sorted(event.fields ^ fields.keys()))
     if _Output.strict:
         raise ValueError(f"{event.title} has wrong fields: {difference}")
@@ -158,13 +160,13 @@
 
 
 def _format_text(record: "loguru.Record") -> str:
-    """Returns the template by which loguru writes a line of text."""
+    """Returns the loguru template for a line of text."""
     record["extra"]["time"] = _format_time(record)
     return "{extra[time]} {level.name} {message}\n"
 
 
 def _format_json(record: "loguru.Record") -> str:
-    """Returns the template by which loguru writes a line of JSON."""
+    """Returns the loguru template for a line of JSON."""
     extra = record["extra"]
     extra["line"] = render_json(
         extra["event"], extra["fields"], _format_time(record)
@@ -173,5 +175,5 @@
 
 
 def _format_time(record: "loguru.Record") -> str:
-    """Returns the time of a record in ISO 8601, in milliseconds."""
+    """Returns the time of a record in ISO 8601, to the millisecond."""
     return record["time"].isoformat(timespec="milliseconds")
--- a/chervilrock/logsink.py
+++ b/chervilrock/logsink.py
@@ -1,51 +1,51 @@
-"""Standard output that never blocks and takes a bounded number of lines."""
+"""Non-blocking, rate-limited log output."""
 
 import os
 import time
 
-LINES_PER_S = 400.0
-"""Lines that are written a second on average: a node under full load writes
-three lines for each of some fifty requests a second."""
+MAX_LINES_PER_S = 400.0
+"""Maximum mean rate: a node under full load logs three lines for each of some
+50 requests per second."""
 
 BURST_LINES = 2000.0
-"""Lines that may be written at once."""
+"""Maximum number of lines in a burst."""
 
 
 class BoundedOutput:
-    """A text file that drops lines rather than wait.
+    """A text output that drops lines instead of blocking.
 
     Attributes:
-      dropped: lines that were dropped since the start.
+      dropped: number of lines dropped since the start.
     """
 
     def __init__(self, *, descriptor: int) -> None:
-        """Write to an open descriptor, which will not block from now on."""
+        """Create an output for an open descriptor; set it to non-blocking."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._allowance = BURST_LINES
-        self._filled = time.monotonic()
+        self._tokens = BURST_LINES
+        self._refilled_at = time.monotonic()
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write a line, or drop it."""
-        if not self._take_allowance(time.monotonic()):
+        """Write a line, or drop it over the rate limit or on a write error."""
+        if not self._consume_token(time.monotonic()):
             self.dropped += 1
             return 0
         try:
             return os.write(self._descriptor, text.encode())
         except OSError:
-            # The reader is slow or gone; the count of dropped lines tells it.
+            # The reader is slow or closed; only the drop count reports it.
             self.dropped += 1
             return 0
 
     def flush(self) -> None:
-        """Do nothing; lines are written at once."""
+        """Do nothing: lines are not buffered."""
 
-    def _take_allowance(self, now: float) -> bool:
-        filled = self._allowance + LINES_PER_S * (now - self._filled)
-        self._allowance = min(BURST_LINES, filled)
-        self._filled = now
-        if self._allowance < 1.0:
+    def _consume_token(self, now: float) -> bool:
+        refilled = self._tokens + MAX_LINES_PER_S * (now - self._refilled_at)
+        self._tokens = min(BURST_LINES, refilled)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._allowance -= 1.0
+        self._tokens -= 1.0
         return True
--- a/chervilrock/metrics.py
+++ b/chervilrock/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a process in the form of Prometheus.
+"""Prometheus metrics of a process.
 
-`docs/OPERATIONS.md` explains each metric to operators; a test holds that both
-agree. Values of labels that come from outside are bounded in number, so that
-no caller can fill the memory of a node.
+`docs/OPERATIONS.md` explains each metric to operators; a test checks that both
+agree. The number of label values that come from outside is limited, so that no
+caller can exhaust the memory of a node.
 """
 
 from collections.abc import Mapping
@@ -38,7 +38,7 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """How a request of a caller ended."""
+    """Outcome of a request of a caller."""
 
     COMPLETE = "complete"
     NOT_RUN = "not_run"
@@ -48,7 +48,7 @@
 
 
 class RetryKind(enum.StrEnum):
-    """Why a node sent a second attempt for a request."""
+    """Reason for a further attempt of a request."""
 
     RETRY = "retry"
     HEDGE = "hedge"
@@ -57,15 +57,15 @@
 
 
 class LabelValues:
-    """The values that a label took; those beyond a limit become `other`."""
+    """Distinct values of a label; values beyond a limit become `other`."""
 
     def __init__(self, *, limit: int) -> None:
-        """Starts without values; `limit` is the greatest number of them."""
+        """Creates an empty set for up to `limit` distinct values."""
         self._limit = limit
         self._values: set[str] = set()
 
     def bound(self, value: str) -> str:
-        """Returns the value, or `other` when there are too many of them."""
+        """Returns the value, or `other` if the limit is reached without it."""
         if value in self._values:
             return value
         if len(self._values) >= self._limit:
@@ -75,10 +75,10 @@
 
 
 class Metrics:
-    """All metrics of one process, in a registry of their own.
+    """All metrics of one process, in a separate registry.
 
     Metrics without labels are public attributes. Those with labels are
-    written through methods, which bound the values of the labels.
+    updated by methods, which limit the number of label values.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         max_workspaces: int = MAX_WORKSPACES,
         max_models: int = MAX_MODELS,
     ) -> None:
-        """Registers every metric with the value 0."""
+        """Creates and registers all metrics, with the value 0."""
         prometheus_client.disable_created_metrics()  # type: ignore[no-untyped-call]
         self.registry = CollectorRegistry()
         self._workspaces = LabelValues(limit=max_workspaces)
@@ -105,13 +105,13 @@
         outcome: RequestOutcome,
         seconds: float,
     ) -> None:
-        """Counts a request that ended, and how long it took in seconds.
+        """Counts a completed request and records its duration.
 
         Args:
           workspace: workspace of the caller
           model: model, or name of the plain service
-          outcome: how it ended
-          seconds: time from its arrival to the end of its answer
+          outcome: outcome of the request
+          seconds: time from its arrival to the end of the answer
         """
         model = self._models.bound(model)
         workspace = self._workspaces.bound(workspace)
@@ -123,40 +123,40 @@
         self._first_tokens.labels(self._models.bound(model)).observe(seconds)
 
     def count_tokens(self, *, model: str, tokens: int) -> None:
-        """Counts tokens passed on; call it once a stream, not once a token."""
+        """Counts forwarded tokens; call once per stream, not per token."""
         self._tokens.labels(self._models.bound(model)).inc(tokens)
 
     def count_retry(self, kind: RetryKind) -> None:
-        """Counts an attempt beyond the first one of a request."""
+        """Counts an attempt after the first one of a request."""
         self._retries.labels(kind.value).inc()
 
     def set_groups(self, counts: Mapping[GroupPhase, int]) -> None:
-        """Sets the number of groups in each phase; 0 for a missing phase."""
+        """Sets the number of groups in each phase, 0 for a missing phase."""
         for phase in GroupPhase:
             self._groups.labels(phase.value).set(counts.get(phase, 0))
 
     def set_peers(self, counts: Mapping[NodePhase, int]) -> None:
-        """Sets the number of peers in each phase; 0 for a missing phase."""
+        """Sets the number of peers in each phase, 0 for a missing phase."""
         for phase in NodePhase:
             self._peers.labels(phase.value).set(counts.get(phase, 0))
 
     def count_downtime(self, *, model: str, seconds: float) -> None:
-        """Adds seconds for which a wanted group of a model did not serve.
+        """Adds seconds in which a required group of a model did not serve.
 
         Only the controller of a region calls it, so that a sum over nodes
-        counts nothing twice.
+        counts no second twice.
         """
         self._downtime.labels(self._models.bound(model)).inc(seconds)
 
     def render(self) -> bytes:
-        """Returns the text of all metrics, of the type `CONTENT_TYPE`."""
+        """Returns all metrics as text of the media type `CONTENT_TYPE`."""
         return prometheus_client.generate_latest(self.registry)
 
     def _add_request_metrics(self) -> None:
         """Registers the metrics of requests."""
         self._requests = self._counter(
             "requests_total",
-            "Requests that ended",
+            "Completed requests",
             ("workspace", "model", "outcome"),
         )
         self._durations = self._histogram(
@@ -172,16 +172,16 @@
             FIRST_TOKEN_BUCKETS,
         )
         self._tokens = self._counter(
-            "tokens_total", "Tokens passed on to callers", ("model",)
+            "tokens_total", "Tokens forwarded to callers", ("model",)
         )
         self._retries = self._counter(
-            "retries_total", "Attempts beyond the first", ("kind",)
+            "retries_total", "Attempts after the first", ("kind",)
         )
         self.in_flight_requests = self._gauge(
             "in_flight_requests", "Requests at backend servers"
         )
         self.queue_requests = self._gauge(
-            "queue_requests", "Requests that wait at this node"
+            "queue_requests", "Requests queued on this node"
         )
 
     def _add_group_metrics(self) -> None:
@@ -189,7 +189,7 @@
         self._groups = self._gauge("groups", "Groups by phase", ("phase",))
         self._downtime = self._counter(
             "group_downtime_seconds_total",
-            "Seconds in which wanted groups did not serve",
+            "Seconds in which required groups did not serve",
             ("model",),
         )
         self.stranded_accelerators = self._gauge(
@@ -204,7 +204,7 @@
         )
 
     def _add_node_metrics(self) -> None:
-        """Registers the metrics of the node and of what it follows."""
+        """Registers the metrics of the node, its log service and its peers."""
         self.configuration_revision = self._gauge(
             "configuration_revision", "Configuration revision in force"
         )
@@ -213,7 +213,7 @@
         )
         self.log_append_seconds = self._histogram(
             "log_append_seconds",
-            "Time of an append to the log service",
+            "Duration of an append to the log service",
             (),
             APPEND_BUCKETS,
         )
@@ -224,28 +224,32 @@
         self._peers = self._gauge("peers", "Other nodes by phase", ("phase",))
 
     def _counter(
-        self, name: str, text: str, labels: tuple[str, ...] = ()
+        self, name: str, help_text: str, labels: tuple[str, ...] = ()
     ) -> Counter:
         """Returns a new registered counter."""
-        full = f"chervilrock_{name}"
-        return Counter(full, text, labels, registry=self.registry)
+        full_name = f"chervilrock_{name}"
+        return Counter(full_name, help_text, labels, registry=self.registry)
 
     def _gauge(
-        self, name: str, text: str, labels: tuple[str, ...] = ()
+        self, name: str, help_text: str, labels: tuple[str, ...] = ()
     ) -> Gauge:
         """Returns a new registered gauge."""
-        full = f"chervilrock_{name}"
-        return Gauge(full, text, labels, registry=self.registry)
+        full_name = f"chervilrock_{name}"
+        return Gauge(full_name, help_text, labels, registry=self.registry)
 
     def _histogram(
         self,
         name: str,
-        text: str,
+        help_text: str,
         labels: tuple[str, ...],
         buckets: tuple[float, ...],
     ) -> Histogram:
         """Returns a new registered histogram."""
-        full = f"chervilrock_{name}"
+        full_name = f"chervilrock_{name}"
         return Histogram(
-            full, text, labels, buckets=buckets, registry=self.registry
+            full_name,
+            help_text,
+            labels,
+            buckets=buckets,
+            registry=self.registry,
         )
