--- a/test/platform/test_adapter.py
+++ b/test/platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""Settings, configuration, entries and headers, decoded and encoded."""
+"""Decoding and encoding of settings, configuration, entries and headers."""
 
 import asyncio
 from typing import Any
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def node_file() -> dict[str, Any]:
-    """A settings file as the platform writes it."""
+    """Content of a settings file as the platform writes it."""
     return make_node_file(node="n1", store_address="127.0.0.1:1")
 
 
@@ -51,7 +51,7 @@
     assert_that(settings.metrics_port, Equals(9))
 
 
-def test_unknown_fields_are_passed_over(node_file: dict[str, Any]) -> None:
+def test_unknown_settings_are_ignored(node_file: dict[str, Any]) -> None:
     node_file["new_field"] = {"a": 1}
     assert_that(isinstance(decode_settings(node_file), Success), Is(True))
 
@@ -69,24 +69,26 @@
         ("bounds", {"grace_s": True}, "bounds.grace_s"),
     ],
 )
-def test_each_wrong_setting_is_found_with_its_place(
+def test_each_invalid_setting_is_reported_with_its_path(
     node_file: dict[str, Any], field: str, value: object, finding: str
 ) -> None:
     node_file[field] = value
     result = decode_settings(node_file)
     assert isinstance(result, Failure)
-    assert_that([one.field for one in result.failure()], Contains(finding))
+    assert_that(
+        [reported.field for reported in result.failure()], Contains(finding)
+    )
 
 
-def test_all_wrong_settings_are_found_together() -> None:
+def test_all_invalid_settings_are_reported_together() -> None:
     result = decode_settings({})
     assert isinstance(result, Failure)
-    found = {one.field for one in result.failure()}
+    found = {finding.field for finding in result.failure()}
     wanted = {"node_name", "zone", "ip", "listen.front", "provider.address"}
     assert_that(found.issuperset(wanted), Is(True))
 
 
-def test_a_file_that_is_not_there_is_a_finding(tmp_path: Any) -> None:
+def test_a_missing_settings_file_is_reported(tmp_path: Any) -> None:
     path = str(tmp_path / "none.toml")
     result = read_settings(path)
     assert isinstance(result, Failure)
@@ -141,12 +143,12 @@
         },
     ],
 )
-def test_a_wrong_configuration_is_refused(change: dict[str, Any]) -> None:
+def test_an_invalid_configuration_is_rejected(change: dict[str, Any]) -> None:
     document = msgspec.json.encode(make_configuration(9) | change)
     assert_that(isinstance(decode_configuration(document), Failure), Is(True))
 
 
-def test_without_tenants_no_key_is_asked_for() -> None:
+def test_without_tenants_no_key_is_required() -> None:
     document = make_configuration(9)
     del document["tenants"]
     decoded = decode_configuration(msgspec.json.encode(document)).unwrap()
@@ -167,10 +169,10 @@
     "staged": ["m"],
     "group": {"name": "g", "epoch": 7, "rank": 1, "state": "open"},
 }
-"""Entry of a server as the platform describes it."""
+"""Entry of a server in the format of the platform."""
 
 
-def test_an_entry_of_a_member_is_decoded() -> None:
+def test_the_entry_of_a_group_member_is_decoded() -> None:
     entry = ENTRY
     server = decode_server("i-1", msgspec.json.encode(entry)).unwrap()
     assert_that(server.is_leaving, Is(True))
@@ -183,7 +185,7 @@
 @pytest.mark.parametrize(
     "entry", [b"", b"[]", b"{}", b'{"service": 1}', b"\xff\xfe", b'"x"']
 )
-def test_a_wrong_entry_is_refused(entry: bytes) -> None:
+def test_a_malformed_entry_is_rejected(entry: bytes) -> None:
     assert_that(isinstance(decode_server("i-1", entry), Failure), Is(True))
 
 
@@ -200,7 +202,7 @@
         "warmup_left_ms",
     ],
 )
-def test_an_entry_without_a_field_names_no_server(field: str) -> None:
+def test_an_entry_without_a_required_field_is_rejected(field: str) -> None:
     entry = {name: ENTRY[name] for name in ENTRY if name != field}
     result = decode_server("i-1", msgspec.json.encode(entry))
     assert_that(isinstance(result, Failure), Is(True))
@@ -228,7 +230,7 @@
         ("address", "host:1"),
     ],
 )
-def test_an_entry_that_is_not_understood_names_no_server(
+def test_an_entry_with_an_invalid_field_is_rejected(
     field: str, value: object
 ) -> None:
     entry = ENTRY | {field: value}
@@ -239,12 +241,14 @@
 @pytest.mark.parametrize(
     "content", [b"", b"\x09key", b"\x02\xff\xfe" + b"value"]
 )
-def test_a_record_that_cannot_be_read_hides_no_other(content: bytes) -> None:
-    odd = len(content).to_bytes(4, "big") + content
-    records = encode_record("a", b"one") + odd + encode_record("b", b"two")
+def test_an_unreadable_record_does_not_hide_the_others(content: bytes) -> None:
+    malformed = len(content).to_bytes(4, "big") + content
+    records = (
+        encode_record("a", b"one") + malformed + encode_record("b", b"two")
+    )
     page = parse_page(bytes(16) + records, 40).unwrap()
     assert page is not None
-    parsed = [(one.key, one.offset) for one in page.records]
+    parsed = [(record.key, record.offset) for record in page.records]
     assert_that(parsed, Equals([("a", 40), ("b", 42)]))
     assert_that(list(page.unreadable), Equals([41]))
     assert_that(page.next_offset, Equals(43))
@@ -254,13 +258,15 @@
     records = encode_record("a", b"one") + encode_record("b", b"")
     page = parse_page(bytes(16) + records, 40).unwrap()
     assert page is not None
-    parsed = [(one.key, one.value, one.offset) for one in page.records]
+    parsed = [
+        (record.key, record.value, record.offset) for record in page.records
+    ]
     assert_that(parsed, Equals([("a", b"one", 40), ("b", b"", 41)]))
     assert_that(page.next_offset, Equals(42))
 
 
 @pytest.mark.parametrize("cut", range(1, 25))
-def test_a_page_that_is_cut_off_is_no_page(cut: int) -> None:
+def test_a_truncated_page_is_rejected(cut: int) -> None:
     whole = bytes(16) + encode_record("key", b"value")
     result = parse_page(whole[:-cut], 0)
     is_empty = cut == len(whole) - 16
@@ -309,7 +315,7 @@
     assert_that(facts.deadline_s is None, Is(True))
 
 
-def test_headers_go_on_without_those_of_the_connection_and_the_key() -> None:
+def test_connection_headers_and_the_key_are_not_forwarded() -> None:
     pairs = [
         ("Host", "h"),
         ("Connection", "keep-alive, X-Hop"),
@@ -362,7 +368,7 @@
         (500, [], False),
     ],
 )
-def test_only_a_proof_says_that_a_request_did_not_run(
+def test_only_an_explicit_answer_proves_that_a_request_did_not_run(
     status: int, pairs: list[tuple[str, str]], is_not_run: bool
 ) -> None:
     assert_that(read_answer(status, pairs).is_not_run, Is(is_not_run))
@@ -391,17 +397,17 @@
     assert_that(facts.limit == limit, Is(True), str(facts.limit))
 
 
-def test_an_answer_without_a_limit_says_that_there_is_none() -> None:
+def test_an_answer_without_a_limit_states_that_there_is_none() -> None:
     is_none = read_answer(200, []).limit == StatedLimit(None)
     assert_that(is_none, Is(True))
 
 
-def test_an_answer_of_another_server_says_nothing_of_limits() -> None:
+def test_an_answer_of_another_server_states_no_limit() -> None:
     facts = read_answer(421, [("Server-Limit", "1.4")])
     assert_that(facts.limit is None, Is(True))
 
 
-def test_an_answer_goes_back_without_headers_of_its_connection() -> None:
+def test_connection_headers_of_an_answer_are_not_sent_to_callers() -> None:
     pairs = [("Connection", "close"), ("Content-Length", "3"), ("A", "b")]
     assert_that(list(make_caller_headers(pairs)), Equals([("A", "b")]))
 
@@ -415,8 +421,8 @@
     assert_that(directory.read_data_centre({}), Not(Equals("a")))
 
 
-class EraClient:
-    """Answers to calls of the store with chosen eras."""
+class FakeEraClient:
+    """HTTP client whose answers carry the given eras in turn."""
 
     def __init__(self, eras: list[str]) -> None:
         self._eras = iter(eras)
@@ -429,25 +435,25 @@
 
 
 def list_eras(eras: list[str]) -> list[int | str]:
-    """Return the era of each answer, or why it was not taken."""
+    """Return the era of each answer, or the kind of the error."""
 
     async def fetch() -> list[int | str]:
-        client: Any = EraClient(eras)
+        client: Any = FakeEraClient(eras)
         store = StoreClient(client=client, address="127.0.0.1:1")
-        taken: list[int | str] = []
+        outcomes: list[int | str] = []
         for _ in eras:
             result = await store.fetch_newest(Topic.NODES)
             if isinstance(result, Failure):
-                taken.append(result.failure().kind.value)
+                outcomes.append(result.failure().kind.value)
             else:
-                taken.append(result.unwrap().era)
-        return taken
+                outcomes.append(result.unwrap().era)
+        return outcomes
 
     return asyncio.run(fetch())
 
 
 @pytest.mark.parametrize(
-    ("eras", "taken"),
+    ("eras", "outcomes"),
     [
         (["", ""], [0, 0]),
         (["4", "4", "5"], [4, 4, 5]),
@@ -457,7 +463,7 @@
         (["", "1", "-2"], [0, 1, "bad_answer"]),
     ],
 )
-def test_an_era_that_falls_or_is_missing_is_not_trusted(
-    eras: list[str], taken: list[int | str]
+def test_an_answer_with_a_lower_or_missing_era_is_rejected(
+    eras: list[str], outcomes: list[int | str]
 ) -> None:
-    assert_that(list_eras(eras), Equals(taken))
+    assert_that(list_eras(eras), Equals(outcomes))
--- a/test/platform/test_names.py
+++ b/test/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Only the adapter and the stand-ins know the names of the platform."""
+"""Only the adapter and the stand-ins may contain names of the platform."""
 
 import pathlib
 import re
@@ -8,7 +8,7 @@
 from testtools.matchers import Equals, HasLength
 
 PACKAGE = pathlib.Path(__file__).resolve().parents[2] / "chervilrock"
-KNOWING = ("platform", "standin")
+ALLOWED_PACKAGES = ("platform", "standin")
 
 NAMES = (
     "X-Server-Stamp",
@@ -45,16 +45,16 @@
 
 @pytest.fixture(scope="module")
 def sources() -> dict[str, str]:
-    """The modules that must not know the names."""
+    """Source of each module that must not contain the names, by path."""
     return {
         str(path.relative_to(PACKAGE)): path.read_text(encoding="utf-8")
         for path in sorted(PACKAGE.rglob("*.py"))
-        if path.relative_to(PACKAGE).parts[0] not in KNOWING
+        if path.relative_to(PACKAGE).parts[0] not in ALLOWED_PACKAGES
     }
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_no_other_module_knows_a_name(
+def test_no_other_module_contains_a_platform_name(
     sources: dict[str, str], name: str
 ) -> None:
     pattern = re.compile(name, re.IGNORECASE)
@@ -62,7 +62,9 @@
     assert_that(found, HasLength(0))
 
 
-def test_the_modules_are_found(sources: dict[str, str]) -> None:
+def test_the_serving_modules_are_checked(sources: dict[str, str]) -> None:
     serving = [path for path in sources if "serving" in path]
     assert_that(len(serving) > 20, Equals(True))
-    assert_that([p for p in sources if p.startswith("platform")], HasLength(0))
+    assert_that(
+        [path for path in sources if path.startswith("platform")], HasLength(0)
+    )
