--- a/test/decisions/control/fakes.py
+++ b/test/decisions/control/fakes.py
@@ -1,4 +1,4 @@
-"""The platform of the model: a log stream and model engines."""
+"""Fakes of the platform: a log stream and model engines."""
 
 from typing import Any
 
@@ -11,26 +11,28 @@
 
 
 class Log:
-    """A stream that keeps every record for the oracle, also when trimmed."""
+    """A stream that keeps trimmed records for the oracle."""
 
     def __init__(self):
         self.stored: list[StoredRecord] = []
-        self.first = 1
+        self.first_offset = 1
 
     def append(self, record):
         self.stored.append(StoredRecord(len(self.stored) + 1, record))
 
-    def trim(self, first):
-        self.first = max(self.first, min(first, len(self.stored) + 1))
+    def trim(self, first_offset):
+        self.first_offset = max(
+            self.first_offset, min(first_offset, len(self.stored) + 1)
+        )
 
     def read(self, start):
-        kept = max(start, self.first) - 1
-        records = tuple(self.stored[kept : kept + 50])
-        return LogPage(records, self.first, len(self.stored) + 1)
+        index = max(start, self.first_offset) - 1
+        records = tuple(self.stored[index : index + 50])
+        return LogPage(records, self.first_offset, len(self.stored) + 1)
 
 
 class Engine:
-    """A model engine; `paused` keeps its orders until it goes on."""
+    """A model engine; while `paused`, it delays the orders that it receives."""
 
     def __init__(self, name, checks):
         self.name = name
@@ -39,10 +41,10 @@
         self.fence = 0
         self.shard: EngineShard | None = None
         self.phase = EnginePhase.EMPTY
-        self.left = 0.0
+        self.load_left_s = 0.0
         self.paused = False
-        self.waiting: list[Any] = []
-        self.held: dict[tuple[str, int, int], float] = {}
+        self.delayed_orders: list[Any] = []
+        self.last_ready_at: dict[tuple[str, int, int], float] = {}
 
     def entry(self, leaving=False) -> HostEntry:
         return HostEntry(
@@ -77,7 +79,7 @@
         elif shard != self.shard:
             self.shard = shard
             self.phase = EnginePhase.LOADING
-            self.left = LOAD_S
+            self.load_left_s = LOAD_S
         return True
 
     def restart(self):
@@ -85,15 +87,15 @@
         self.fence = 0
         self.shard = None
         self.phase = EnginePhase.EMPTY
-        self.waiting.clear()
+        self.delayed_orders.clear()
 
     def step(self, now):
         if self.paused:
             return
         if self.phase == EnginePhase.LOADING:
-            self.left -= STEP
-            if self.left <= 0:
+            self.load_left_s -= STEP
+            if self.load_left_s <= 0:
                 self.phase = EnginePhase.READY
         if self.phase == EnginePhase.READY and self.shard is not None:
-            key = (self.shard["group"], self.shard["fence"])
-            self.held[(*key, self.shard["rank"])] = now
+            group_key = (self.shard["group"], self.shard["fence"])
+            self.last_ready_at[(*group_key, self.shard["rank"])] = now
--- a/test/decisions/control/machine.py
+++ b/test/decisions/control/machine.py
@@ -1,4 +1,4 @@
-"""A Hypothesis machine that brings faults upon the model of a region."""
+"""A Hypothesis state machine that injects faults into a simulated region."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
--- a/test/decisions/control/oracle.py
+++ b/test/decisions/control/oracle.py
@@ -1,13 +1,13 @@
-"""What must always hold in the model, judged more simply than by the code.
+"""Invariants of the simulated region, checked independently of its code.
 
-The oracle sees the whole log, whatever was trimmed, and what the engines truly
-held. Owners of hosts are plain sets; nothing of the folds is used.
+The oracle sees the whole log, trimmed records included, and the true state of
+the engines. Owners of hosts are plain sets; no fold of the product is used.
 """
 
 from chervilrock.generated.records import GroupPhase
 
 DRIFT = 0.01
-LIMIT = 1.5
+AGE_LIMIT_S = 1.5
 
 
 def replay_configurations(stored):
@@ -24,7 +24,15 @@
 
 
 class Owners:
-    """The owners of hosts, replayed from a whole stream with plain sets."""
+    """The owners of hosts, replayed from a whole stream with plain sets.
+
+    Attributes:
+      seen: identities of the replayed records
+      offset: offset of the last replayed record
+      hosts: hosts by group
+      spares: spares by group
+      former: hosts that a group lost and that are not released, by group
+    """
 
     def __init__(self):
         self.seen = set()
@@ -35,15 +43,15 @@
         self.fence: dict[str, int] = {}
         self.phase: dict[str, str] = {}
 
-    def follow(self, stored):
+    def apply_new(self, stored):
         for offset, record in stored[self.offset :]:
             self.offset = offset
             if record.record_id not in self.seen:
                 self.seen.add(record.record_id)
-                self.take(offset, record.kind, record.body)
+                self.apply(offset, record.kind, record.body)
 
     def owners(self):
-        """Return the groups that own each host; more than one is a fault."""
+        """Return the owning groups of each host; a correct state has one."""
         found: dict[str, set[str]] = {}
         for table in (self.hosts, self.spares, self.former):
             for group, hosts in table.items():
@@ -51,7 +59,7 @@
                     found.setdefault(host, set()).add(group)
         return found
 
-    def take(self, offset, kind, body):
+    def apply(self, offset, kind, body):
         if kind == "controller-claimed":
             if (body[2], body[4]) == (self.epoch, self.renewed):
                 self.epoch = self.renewed = offset
@@ -59,9 +67,9 @@
             if body[0] == self.epoch:
                 self.renewed = offset
         elif kind != "snapshot-part" and body[0] == self.epoch:
-            self.change(offset, kind, body)
+            self.apply_region_record(offset, kind, body)
 
-    def change(self, offset, kind, body):
+    def apply_region_record(self, offset, kind, body):
         name = body[1]
         if kind == "group-granted":
             hosts = set(body[5])
@@ -73,11 +81,11 @@
             for hosts in self.former.values():
                 hosts.discard(name)
         elif kind != "host-quarantined" and self.fence.get(name) == body[2]:
-            self.change_group(offset, kind, name, body)
+            self.apply_group_record(offset, kind, name, body)
 
-    def change_group(self, offset, kind, name, body):
-        mine = self.hosts[name] | self.spares.get(name, set())
-        taken = self.owners().keys() - mine
+    def apply_group_record(self, offset, kind, name, body):
+        own_hosts = self.hosts[name] | self.spares.get(name, set())
+        other_hosts = self.owners().keys() - own_hosts
         former = self.former.setdefault(name, set())
         if kind == "group-phase-changed":
             order = ("loading", "serving", "draining", "dissolved")
@@ -85,10 +93,10 @@
                 return
             self.phase[name] = body[3]
             if body[3] == "dissolved":
-                former |= mine
+                former |= own_hosts
                 self.hosts[name] = set()
                 self.spares[name] = set()
-        elif self.phase[name] == "dissolved" or set(body[3]) & taken:
+        elif self.phase[name] == "dissolved" or set(body[3]) & other_hosts:
             return
         elif kind == "group-repaired":
             former |= self.hosts[name] - set(body[3])
@@ -102,47 +110,47 @@
 
 
 def check_load(world, host, group):
-    """Assert that the group whose shard a host loads owns the host."""
-    world.owners.follow(world.region.stored)
+    """Assert that only the owner of a host loads a shard on it."""
+    world.owners.apply_new(world.region.stored)
     owner = world.owners.owners().get(host)
     assert owner == {group}, "a former owner loaded a host"
 
 
 def check(world):
-    """Assert everything that must always hold."""
+    """Assert all invariants."""
     owners = world.owners
-    owners.follow(world.region.stored)
+    owners.apply_new(world.region.stored)
     owned = owners.owners()
     assert all(len(groups) == 1 for groups in owned.values())
-    awake = [node for node in world.nodes if not node.paused]
-    acting = [node for node in awake if node.lease.may_act(node.now())]
+    running = [node for node in world.nodes if not node.paused]
+    acting = [node for node in running if node.lease.may_act(node.now())]
     assert len(acting) <= 1, "two controllers act"
-    used: dict[str, str] = {}
-    for node in awake:
+    groups_by_host: dict[str, str] = {}
+    for node in running:
         for group in node.served():
-            check_served(world, group, used)
+            check_served(world, group, groups_by_host)
         check_folds(world, node, owners)
 
 
-def check_served(world, group, used):
-    """Assert that the engines of a served group truly hold it."""
-    oldest = world.now - LIMIT * (1 + DRIFT)
+def check_served(world, group, groups_by_host):
+    """Assert that each host of a served group was ready within the limit."""
+    oldest = world.now - AGE_LIMIT_S * (1 + DRIFT)
     assert len(group.hosts) == 2
     for rank, host in enumerate(group.hosts):
         key = (group.name, group.fence, rank)
-        at = world.engines[host].held.get(key, -1.0)
-        assert at >= oldest, "a group serves while a host is missing"
-        assert used.setdefault(host, group.name) == group.name
+        ready_at = world.engines[host].last_ready_at.get(key, -1.0)
+        assert ready_at >= oldest, "a group serves while a host is missing"
+        assert groups_by_host.setdefault(host, group.name) == group.name
 
 
 def check_folds(world, node, owners):
-    """Assert that a node knows what the log says, or knows that it does not."""
+    """Assert that the folds of a node agree with the log if they are known."""
     region = node.region
     if node.reader.known and region.upto == owners.offset:
         assert region.epoch == owners.epoch
         assert region.renewed == owners.renewed
         assert {
-            host: {own.group} for host, own in region.owners.items()
+            host: {ownership.group} for host, ownership in region.owners.items()
         } == owners.owners()
         for name, group in region.groups.items():
             assert (group.fence, group.phase) == (
--- a/test/decisions/control/test_controller.py
+++ b/test/decisions/control/test_controller.py
@@ -1,4 +1,4 @@
-"""The life of groups and hosts, in the model of a region."""
+"""Life cycle of groups and hosts in a simulated region."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -13,22 +13,22 @@
 
 
 def run(world, count):
-    """Run and return the least number of groups served at any time."""
-    least = 99
+    """Run some steps and return the least number of served groups."""
+    least_served = 99
     for _ in range(count):
         world.step()
         check(world)
-        least = min(least, len(world.nodes[0].served()))
-    return least
+        least_served = min(least_served, len(world.nodes[0].served()))
+    return least_served
 
 
-def groups(world):
+def list_groups(world):
     return list(world.nodes[0].region.groups.values())
 
 
 @pytest.fixture
 def start():
-    """Return a function that makes a world with serving groups."""
+    """Return a function that creates a world with serving groups."""
 
     def make(checks=FENCED, count=1, spares=0):
         world = World(checks)
@@ -40,11 +40,11 @@
     return make
 
 
-def test_a_new_version_is_brought_up_before_the_old_one_goes(start):
+def test_a_new_version_serves_before_the_old_one_is_drained(start):
     world = start()
     world.apply(make_configuration("v2", spares=0))
     assert_that(run(world, 40), Equals(1))
-    (group,) = groups(world)
+    (group,) = list_groups(world)
     assert_that(group.version, Equals("v2"))
     assert_that(len(world.nodes[0].region.owners), Equals(2))
 
@@ -53,22 +53,22 @@
     world = start(count=2)
     world.apply(make_configuration("v2", groups=2))
     assert_that(run(world, 80), Equals(1))
-    versions = {group.version for group in groups(world)}
+    versions = {group.version for group in list_groups(world)}
     assert_that(versions, Equals({"v2"}))
     assert_that(len(world.nodes[0].served()), Equals(2))
 
 
-def test_a_rollout_goes_on_when_hosts_are_short(start):
+def test_a_rollout_resumes_after_a_shortage_of_hosts(start):
     world = start(count=2)
     world.engines["h0"].paused = True
     run(world, 10)
     world.apply(make_configuration("v2", groups=2))
     run(world, 80)
-    assert "v1" in {group.version for group in groups(world)}
+    assert "v1" in {group.version for group in list_groups(world)}
     world.engines["h0"].paused = False
     run(world, 80)
     assert_that(
-        [group.version for group in groups(world)], Equals(["v2", "v2"])
+        [group.version for group in list_groups(world)], Equals(["v2", "v2"])
     )
 
 
@@ -76,21 +76,21 @@
     world = start()
     world.apply(EMPTY)
     run(world, 3)
-    assert_that(groups(world)[0].phase, Is(GroupPhase.DRAINING))
+    assert_that(list_groups(world)[0].phase, Is(GroupPhase.DRAINING))
     assert world.engines["h0"].phase == EnginePhase.READY
     run(world, 30)
-    assert_that(groups(world), Equals([]))
+    assert_that(list_groups(world), Equals([]))
     assert_that(world.nodes[0].region.owners, Equals({}))
     assert world.engines["h0"].phase == EnginePhase.EMPTY
 
 
-def test_a_group_with_a_leaving_host_gets_no_new_work(start):
+def test_a_group_with_a_leaving_host_is_drained_and_replaced(start):
     world = start()
     world.leaving.add("h0")
     run(world, 3)
-    assert_that(groups(world)[0].phase, Is(GroupPhase.DRAINING))
+    assert_that(list_groups(world)[0].phase, Is(GroupPhase.DRAINING))
     run(world, 40)
-    (group,) = groups(world)
+    (group,) = list_groups(world)
     assert "h0" not in group.hosts
     assert_that(len(world.nodes[0].served()), Equals(1))
 
@@ -99,7 +99,7 @@
     world = start()
     world.engines["h0"].paused = True
     run(world, 20)
-    (group,) = groups(world)
+    (group,) = list_groups(world)
     assert "h0" not in group.hosts
     run(world, 20)
     region = world.nodes[0].region
@@ -110,36 +110,40 @@
     assert world.engines["h0"].phase == EnginePhase.EMPTY
 
 
-def test_a_restarted_engine_gives_its_whole_group_a_new_number(start):
+def test_a_restarted_engine_gives_its_whole_group_a_new_fence(start):
     world = start()
-    before = groups(world)[0]
+    before = list_groups(world)[0]
     world.engines["h1"].restart()
     run(world, 3)
     assert_that(world.nodes[0].served(), Equals(()))
     run(world, 16)
-    (after,) = groups(world)
+    (after,) = list_groups(world)
     assert_that(after.hosts, Equals(before.hosts))
     assert_that(after.fence, GreaterThan(before.fence))
     assert_that(len(world.nodes[0].served()), Equals(1))
 
 
-def find_release(world, name):
-    """Return at what time a host became free."""
+def wait_for_release(world, name):
+    """Run until a host is free and return the time."""
     for _ in range(80):
         run(world, 1)
-        if any(n.region.is_free(name) for n in world.nodes if not n.paused):
+        if any(
+            node.region.is_free(name) for node in world.nodes if not node.paused
+        ):
             return world.now
-    raise AssertionError("never released")
+    raise AssertionError("the host is never released")
 
 
 @pytest.mark.parametrize("fenced", [True, False])
-def test_a_host_is_released_only_when_old_orders_have_ended(start, fenced):
+def test_a_host_is_released_only_after_old_orders_have_expired(start, fenced):
     world = start(checks=(fenced,) * 4)
-    first = next(n for n in world.nodes if n.lease.may_act(n.now()))
-    first.paused = True
+    controller = next(
+        node for node in world.nodes if node.lease.may_act(node.now())
+    )
+    controller.paused = True
     paused_at = world.now
     world.apply(EMPTY)
-    released_at = find_release(world, "h0")
+    released_at = wait_for_release(world, "h0")
     lease_and_order_s = 3.0 + 4.0
     assert_that(released_at - paused_at, GreaterThan(lease_and_order_s))
 
@@ -154,9 +158,11 @@
     assert region.owners["h0"].quarantined
 
 
-def test_nothing_is_decided_without_the_lease(start):
+def test_a_node_without_the_lease_decides_nothing(start):
     world = start()
-    idle = next(n for n in world.nodes if not n.lease.may_act(n.now()))
+    idle = next(
+        node for node in world.nodes if not node.lease.may_act(node.now())
+    )
     world.apply(EMPTY)
     idle.read()
     idle.outbox.clear()
@@ -171,12 +177,12 @@
         for node in world.nodes:
             node.control()
         run(world, 1)
-    assert_that({one.version for one in groups(world)}, Equals({"v2"}))
+    assert_that({group.version for group in list_groups(world)}, Equals({"v2"}))
 
 
-def test_spares_are_handed_back_when_a_group_needs_them(start):
+def test_spares_are_released_when_another_group_needs_them(start):
     world = start(spares=2)
-    (group,) = groups(world)
+    (group,) = list_groups(world)
     assert_that(set(group.spares), Equals({"h2", "h3"}))
     world.apply(make_configuration(groups=2, spares=0))
     run(world, 30)
--- a/test/decisions/control/test_finishing.py
+++ b/test/decisions/control/test_finishing.py
@@ -11,7 +11,7 @@
 
 
 class Site(ViewSite):
-    """A table of groups that finish, and what it is made of."""
+    """A table of groups that finish their requests, with its inputs."""
 
     def __init__(self):
         super().__init__()
@@ -31,9 +31,9 @@
         self.hosts = {**self.hosts, host: make_entry(host, leaving)}
 
     def list_finishing(self):
-        """Return those that may finish now."""
+        """Return the groups that may finish their requests now."""
         finishing = self.finishing.update(self.region, self.hosts, self.now)
-        return [one for one in finishing if self.now < one.until]
+        return [group for group in finishing if self.now < group.until]
 
 
 @pytest.fixture
@@ -46,15 +46,15 @@
 
 
 @pytest.mark.parametrize("cause", ["drains", "host leaves"])
-def test_whole_group_finishes_what_it_has(finishing_site, cause):
+def test_whole_group_finishes_its_requests(finishing_site, cause):
     if cause == "drains":
         finishing_site.set_phase(GroupPhase.DRAINING)
     else:
         finishing_site.set_leaving("h1", True)
         finishing_site.update()
         assert_that(finishing_site.served(), Equals({}))
-    (one,) = finishing_site.list_finishing()
-    assert_that((one.group, one.fence), Equals(("g", 5)))
+    (finishing,) = finishing_site.list_finishing()
+    assert_that((finishing.group, finishing.fence), Equals(("g", 5)))
     finishing_site.now += LIMIT
     assert_that(finishing_site.list_finishing(), Equals([]))
 
--- a/test/decisions/control/test_lease.py
+++ b/test/decisions/control/test_lease.py
@@ -59,7 +59,7 @@
     assert not holder.may_act(over * rate + 1e-6)
 
 
-def test_a_claim_counts_from_when_it_was_sent_first(view):
+def test_a_lease_counts_from_when_its_claim_was_first_sent(view):
     view.holder.record_sent(MINE, 10.0)
     view.holder.record_sent(MINE, 12.0)
     view.read(MINE, claim(4), 12.5)
@@ -68,7 +68,7 @@
     assert_that(view.granted_epoch, Equals(4))
 
 
-def test_a_paused_holder_finds_its_lease_over(view):
+def test_a_paused_holder_does_not_act_after_its_lease(view):
     view.holder.record_sent(MINE, 10.0)
     view.read(MINE, claim(4), 10.1)
     assert_that(view.decide(10.2, known=True).step, Is(LeaseStep.ACT))
@@ -105,19 +105,19 @@
         )
         for rank in range(3)
     ]
-    times = [one.decide(0.0, known=True).until for one in views]
+    times = [view.decide(0.0, known=True).until for view in views]
     assert_that(times, Equals(sorted(times)))
     assert_that(len(set(times)), Equals(3))
 
 
-def test_a_released_lease_can_be_taken_at_once(view):
+def test_a_released_lease_can_be_claimed_at_once(view):
     view.read(OTHER, claim(4), 10.0)
     assert_that(view.observer.is_over(12.9), Is(False))
     view.read(OTHER, accepted(5, ControllerReleased(4)), 11.0)
     assert view.observer.is_over(11.0)
 
 
-def test_orders_of_earlier_controllers_end_before_the_quiet_time(view):
+def test_quiet_time_comes_after_orders_of_earlier_controllers_expire(view):
     view.read(OTHER, claim(4), 10.0)
     view.read(OTHER, accepted(5, ControllerRenewed(4)), 12.0)
     view.holder.record_sent(MINE, 16.0)
@@ -125,7 +125,7 @@
     assert_that(view.observer.quiet_at, Equals(12.0 + 3.0 * 1.01 + 2.0))
 
 
-def test_a_snapshot_tells_of_a_lease_that_may_still_run(view):
+def test_a_lease_from_a_snapshot_counts_from_when_it_is_read(view):
     view.adopt(4, 3.0, 20.0)
     assert_that(view.observer.is_over(23.0), Is(False))
     assert_that(view.observer.quiet_at, Equals(20.0 + 3.0 * 1.01 + 2.0))
--- a/test/decisions/control/test_presence.py
+++ b/test/decisions/control/test_presence.py
@@ -42,10 +42,10 @@
 
 @pytest.fixture
 def table():
-    one = PresenceTable(limit=2.0, now=0.0)
-    one.observe("h0", make_state("h0"), 10.0)
-    one.observe("h1", make_state("h1", rank=1), 10.0)
-    return one
+    presence = PresenceTable(limit=2.0, now=0.0)
+    presence.observe("h0", make_state("h0"), 10.0)
+    presence.observe("h1", make_state("h1", rank=1), 10.0)
+    return presence
 
 
 @pytest.fixture
@@ -88,7 +88,7 @@
         {"hosts": ("h0", "h1", "h2")},
     ],
 )
-def test_any_other_shard_leaves_the_group_short(table, changed):
+def test_any_other_shard_leaves_the_group_incomplete(table, changed):
     other = GROUP._replace(**changed)
     table.observe("h1", make_state("h1", other, rank=1), 11.0)
     assert_that(table.whole(GROUP, 11.0), Is(False))
@@ -104,12 +104,12 @@
         {"shard": make_shard(GROUP, 0, "h0:1")},
     ],
 )
-def test_any_other_state_leaves_the_group_short(table, changed):
+def test_any_other_state_leaves_the_group_incomplete(table, changed):
     table.observe("h1", make_state("h1", rank=1, **changed), 11.0)
     assert_that(table.whole(GROUP, 11.0), Is(False))
 
 
-def test_without_incarnations_on_record_the_first_one_counts(table):
+def test_without_recorded_incarnations_the_first_one_counts(table):
     group = GROUP._replace(incarnations=())
     assert table.whole(group, 11.0)
     table.observe("h1", make_state("h1", rank=1, incarnation="j"), 11.0)
@@ -123,7 +123,7 @@
         assert_that(table.servable(region, 11.0), Equals(()))
 
 
-def test_a_repair_in_an_outage_is_served_once_all_have_its_number(
+def test_a_repair_in_an_outage_is_served_once_all_hosts_have_its_fence(
     table, region
 ):
     repaired = GROUP._replace(fence=8)
@@ -134,6 +134,6 @@
     (served,) = table.servable(region, 11.0)
     assert_that(served.hosts, Equals(("h0", "h2")))
     assert_that(served.fence, Equals(8))
-    doubled = make_state("h1", repaired, rank=1)
-    table.observe("h1", doubled, 11.0)
+    duplicate = make_state("h1", repaired, rank=1)
+    table.observe("h1", duplicate, 11.0)
     assert_that(table.servable(region, 11.0), Equals(()))
--- a/test/decisions/control/test_records.py
+++ b/test/decisions/control/test_records.py
@@ -1,4 +1,4 @@
-"""Records are read strictly, and never raise."""
+"""Decoding of records is strict and never raises an error."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -36,7 +36,7 @@
     return RecordWriter(node="a", incarnation="7")
 
 
-def test_bodies_survive_the_wire(writer):
+def test_bodies_are_equal_after_encoding_and_decoding(writer):
     body = HostReleased(epoch=1, host="h", fence=2)
     wire = msgspec.json.encode(StoredRecord(5, writer.prepare(body)))
     stored = decode_stored(msgspec.json.decode(wire))
@@ -45,7 +45,7 @@
     assert decode_body(stored.record) == body
 
 
-def test_identity_is_kept_when_a_record_is_sent_again(writer):
+def test_each_prepared_record_gets_its_own_identity(writer):
     first = writer.prepare(HostReleased(1, "h", 2))
     second = writer.prepare(HostReleased(1, "h", 2))
     assert_that(first.record_id, Equals(RecordId("a/7", 1)))
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("kind", list(BODY_TYPES))
-def test_a_longer_or_shorter_body_is_refused(kind):
+def test_a_longer_or_shorter_body_is_rejected(kind):
     for body in ([], [1] * 20, "text", None):
         record = Record(kind, RecordId("w", 1), body)
         assert decode_body(record) is None
@@ -85,5 +85,5 @@
     seen = SeenRecords(limit=2)
     for writer in ("a", "b", "a", "c"):
         seen.add(RecordId(writer, len(seen.export()) + 1))
-    assert_that([one.writer for one in seen.export()], Equals(["a", "c"]))
+    assert_that([newest.writer for newest in seen.export()], Equals(["a", "c"]))
     assert_that(seen.add(RecordId("c", 1)), Is(False))
--- a/test/decisions/control/test_region.py
+++ b/test/decisions/control/test_region.py
@@ -1,4 +1,4 @@
-"""The rules of the region fold."""
+"""Rules by which the region fold accepts and rejects records."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -28,7 +28,7 @@
 
 
 class Driver:
-    """Appends bodies to a fold with the next offset."""
+    """A fold to which bodies are applied at the next offset."""
 
     def __init__(self):
         self.state = RegionState()
@@ -58,17 +58,17 @@
         return self.apply(GroupRepaired(epoch, "g", fence, hosts, "f", reserve))
 
     def spares(self, hosts, fence=2):
-        names = tuple("i" for _ in hosts)
+        incarnations = tuple("i" for _ in hosts)
         return self.apply(
-            SparesGranted(self.state.epoch, "g", fence, hosts, names)
+            SparesGranted(self.state.epoch, "g", fence, hosts, incarnations)
         )
 
 
 @pytest.fixture
 def driver():
-    one = Driver()
-    one.claim()
-    return one
+    claimed = Driver()
+    claimed.claim()
+    return claimed
 
 
 def test_claims_name_the_epoch_and_the_last_renewal(driver):
@@ -88,7 +88,7 @@
     assert driver.claim().accepted
 
 
-def test_grants_take_only_free_hosts_and_new_names(driver):
+def test_grants_need_free_hosts_and_a_new_name(driver):
     assert driver.grant().accepted
     assert_that(driver.grant("o").reason, Is(Reason.HOST_OWNED))
     assert_that(
@@ -129,7 +129,7 @@
     assert driver.grant("o", ("h1", "h3")).accepted
 
 
-def test_a_dissolved_group_ends_with_its_last_host(driver):
+def test_a_dissolved_group_is_removed_with_its_last_host(driver):
     driver.grant()
     driver.phase(GroupPhase.DISSOLVED)
     driver.apply(HostReleased(1, "h0", 2))
@@ -153,7 +153,7 @@
     assert_that(driver.state.groups["g"].reserve, Equals(0))
 
 
-def test_a_repair_done_in_an_outage_keeps_its_reserve_number(driver):
+def test_a_repair_done_in_an_outage_keeps_its_reserve_fence(driver):
     driver.grant()
     driver.phase(GroupPhase.SERVING)
     driver.spares(("h2",))
@@ -165,15 +165,15 @@
     assert driver.phase(GroupPhase.SERVING, fence=4).accepted
 
 
-def test_doubles_and_passed_offsets_change_nothing(driver):
+def test_duplicates_and_earlier_offsets_change_nothing(driver):
     record = driver.writer.prepare(
         GroupGranted(1, "g", "m", "v", (), HOSTS, "f", 1)
     )
     assert driver.state.apply(StoredRecord(2, record)).accepted
     again = driver.state.apply(StoredRecord(3, record))
     assert_that(again.kind, Is(VerdictKind.DUPLICATE))
-    passed = driver.state.apply(StoredRecord(2, record))
-    assert_that(passed.kind, Is(VerdictKind.SKIPPED))
+    earlier = driver.state.apply(StoredRecord(2, record))
+    assert_that(earlier.kind, Is(VerdictKind.SKIPPED))
     assert_that(driver.state.upto, Equals(3))
 
 
--- a/test/decisions/control/test_safety.py
+++ b/test/decisions/control/test_safety.py
@@ -1,4 +1,4 @@
-"""The fault machine finds no fault, and finds each rule that is broken."""
+"""Injected faults break no invariant, and each broken rule is detected."""
 
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
@@ -31,25 +31,25 @@
     )
 
 
-def test_faults_break_no_promise():
+def test_faults_break_no_invariant():
     run_machine(EXAMPLES)
 
 
-def skip_number_proof(patch):
-    """Release a fenced host as soon as it is empty."""
-    fenced = release.is_proved_empty
+def skip_fence_proof(patch):
+    """Release a host that checks fences as soon as it reports to be empty."""
+    original = release.is_proved_empty
 
     def is_proved_empty(context, host, ownership):
         evidence = context.find_evidence(host)
         if context.checks_fence(host) and evidence is not None:
             return evidence.phase == EnginePhase.EMPTY
-        return fenced(context, host, ownership)
+        return original(context, host, ownership)
 
     patch.setattr(release, "is_proved_empty", is_proved_empty)
 
 
 def skip_fence_check(patch):
-    """Let the fold take records that name an old fencing number."""
+    """Let the fold accept records with an old fencing number."""
     patch.setattr(
         region_rules,
         "_check_group",
@@ -61,40 +61,40 @@
 
 
 def skip_epoch_check(patch):
-    """Let the fold take records of an old controller."""
+    """Let the fold accept records of an earlier controller."""
     patch.setattr(region_rules, "_check_epoch", lambda state, epoch: None)
 
 
 def skip_lease_wait(patch):
-    """Take a lease over without waiting for its end."""
+    """Claim the lease without waiting for the end of the earlier one."""
     over_at = property(lambda self: 0.0, lambda self, value: None)
     patch.setattr(LeaseObserver, "over_at", over_at, raising=False)
 
 
 def skip_quiet_wait(patch):
-    """Trust engines that check no number before old orders have ended."""
+    """Trust engines that check no fence before old orders have expired."""
     patch.setattr(release, "find_quiet_time", lambda context, host: 0.0)
 
 
 def skip_lease_check(patch):
-    """Act without looking at the lease, as after a pause."""
+    """Act without checking the end of the lease, as after a pause."""
     patch.setattr(LeaseHolder, "may_act", lambda self, now: self.epoch != 0)
 
 
 def count_from_reading(patch):
-    """Count the lease from when its renewal was read."""
-    noted = LeaseHolder.record_accepted
+    """Count the lease from a time after its claim or renewal was sent."""
+    original = LeaseHolder.record_accepted
 
     def record_accepted(self, record_id, epoch):
         if record_id in self._sent:
             self._sent[record_id] += 3.0
-        noted(self, record_id, epoch)
+        original(self, record_id, epoch)
 
     patch.setattr(LeaseHolder, "record_accepted", record_accepted)
 
 
-def serve_one_short(patch):
-    """Serve without looking at the last host of a group."""
+def serve_without_last_host(patch):
+    """Serve a group without checking its last host."""
 
     def whole(self, group, now, limit=None):
         return all(
@@ -122,8 +122,8 @@
     patch.setattr(configurations.ConfigurationFold, "_judge_base", judge)
 
 
-def adopt_anything(patch):
-    """Take over whatever a peer hands on."""
+def adopt_any_revision(patch):
+    """Adopt every configuration that a peer forwards."""
 
     def adopt(self, stored):
         self._folded = configurations.read_accepted(stored)
@@ -133,24 +133,24 @@
 
 
 def read_trimmed_as_empty(patch):
-    """Fold what is left of a trimmed stream as if it were all."""
+    """Fold the rest of a trimmed stream as if it were complete."""
     patch.setattr(StreamReader, "_check_gap", lambda self, page: False)
 
 
 @pytest.mark.parametrize(
     "mutate",
     [
-        skip_number_proof,
+        skip_fence_proof,
         skip_fence_check,
         skip_epoch_check,
         skip_lease_wait,
         skip_quiet_wait,
         skip_lease_check,
         count_from_reading,
-        serve_one_short,
+        serve_without_last_host,
         trust_old_evidence,
         accept_stale_base,
-        adopt_anything,
+        adopt_any_revision,
         read_trimmed_as_empty,
     ],
 )
--- a/test/decisions/control/test_streams.py
+++ b/test/decisions/control/test_streams.py
@@ -1,4 +1,4 @@
-"""Trimmed streams, snapshots and what is not known."""
+"""Readers of streams that are trimmed and bridged by snapshots."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -21,35 +21,35 @@
 
 
 class Stream:
-    """A log with a writer, and a fold that has read all of it."""
+    """A log with a writer, and a reader that has read all of it."""
 
     def __init__(self):
         self.log = Log()
         self.writer = RecordWriter(node="a", incarnation="1")
-        self.whole = StreamReader(fold=RegionState())
+        self.full_reader = StreamReader(fold=RegionState())
 
     def append(self, *bodies):
         for body in bodies:
             self.log.append(self.writer.prepare(body))
-        read(self.whole, self.log)
+        read(self.full_reader, self.log)
 
     def snapshot(self, name="s", size=40):
-        state = self.whole.fold
+        state = self.full_reader.fold
         return split_snapshot(name, state.upto, state.export(), size)
 
 
 def read(reader, log, times=4):
-    """Read until nothing is left; a jump back needs another page."""
+    """Read to the end; a jump back to a snapshot needs another page."""
     for _ in range(times):
         reader.read(reader.position, log.read(reader.position))
 
 
 @pytest.fixture
 def stream():
-    one = Stream()
-    one.append(ControllerClaimed("a", "x", 0, 3000, 0))
-    one.append(ControllerRenewed(1), ControllerRenewed(1))
-    return one
+    claimed = Stream()
+    claimed.append(ControllerClaimed("a", "x", 0, 3000, 0))
+    claimed.append(ControllerRenewed(1), ControllerRenewed(1))
+    return claimed
 
 
 @pytest.fixture
@@ -69,7 +69,7 @@
     assert_that(reader.known, Is(False))
 
 
-def test_what_is_left_of_a_trimmed_stream_is_not_folded(reader, stream):
+def test_the_rest_of_a_trimmed_stream_is_not_folded(reader, stream):
     stream.log.trim(2)
     read(reader, stream.log)
     stream.append(ControllerClaimed("b", "x", 0, 3000, 0))
@@ -78,13 +78,13 @@
     assert_that(reader.fold.epoch, Equals(0))
 
 
-def test_a_snapshot_bridges_what_was_trimmed(reader, stream):
+def test_a_snapshot_replaces_the_trimmed_records(reader, stream):
     stream.append(*stream.snapshot())
     stream.append(ControllerRenewed(1))
     stream.log.trim(4)
     read(reader, stream.log)
     assert reader.known
-    assert_that(reader.fold.export(), Equals(stream.whole.fold.export()))
+    assert_that(reader.fold.export(), Equals(stream.full_reader.fold.export()))
 
 
 def test_a_snapshot_with_a_gap_after_it_is_not_used(reader, stream):
@@ -99,7 +99,9 @@
     assert reader.known
 
 
-def test_half_written_and_mixed_snapshots(reader, stream):
+def test_a_complete_snapshot_is_found_among_partial_and_mixed_ones(
+    reader, stream
+):
     half = stream.snapshot("half")[:-1]
     first = stream.snapshot("first")
     second = stream.snapshot("second")
@@ -108,7 +110,7 @@
     stream.log.trim(4)
     read(reader, stream.log)
     assert reader.known
-    assert_that(reader.fold.export(), Equals(stream.whole.fold.export()))
+    assert_that(reader.fold.export(), Equals(stream.full_reader.fold.export()))
 
 
 @pytest.mark.parametrize(
@@ -137,7 +139,7 @@
     result = reader.read(reader.position, stream.log.read(reader.position))
     assert result.restored
     read(reader, stream.log)
-    assert_that(reader.fold.export(), Equals(stream.whole.fold.export()))
+    assert_that(reader.fold.export(), Equals(stream.full_reader.fold.export()))
 
 
 def test_a_page_from_another_offset_is_dropped(reader, stream):
--- a/test/decisions/control/test_views.py
+++ b/test/decisions/control/test_views.py
@@ -1,4 +1,4 @@
-"""The table of endpoints against judging every group every time."""
+"""The table of endpoints agrees with an evaluation of every group."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -62,7 +62,7 @@
 
 
 class Site:
-    """A table of endpoints and what it is made of."""
+    """A table of endpoints with its inputs."""
 
     def __init__(self):
         self.now = 10.0
@@ -87,7 +87,7 @@
         return self.table.update(self.region, self.hosts, changed, self.now)
 
     def served(self):
-        """Return the groups that may get requests now, by the table."""
+        """Return the groups that may get requests now, as the table has it."""
         return {
             timed.endpoint.group: timed.endpoint.fence
             for timed in self.table.endpoints
@@ -95,7 +95,7 @@
         }
 
     def expected(self):
-        """Return the same by judging each group anew."""
+        """Return the same groups by an evaluation of each group."""
         return {
             group.name: group.fence
             for group in self.presence.servable(self.region, self.now)
@@ -106,16 +106,16 @@
 
 @pytest.fixture
 def site():
-    one = Site()
+    filled = Site()
     group = make_group()
-    one.put_group(group)
-    one.probe("h0", group, 0)
-    one.probe("h1", group, 1)
-    one.update()
-    return one
+    filled.put_group(group)
+    filled.probe("h0", group, 0)
+    filled.probe("h1", group, 1)
+    filled.update()
+    return filled
 
 
-def test_group_ends_with_its_oldest_evidence_without_an_update(site):
+def test_endpoint_expires_with_its_oldest_evidence_without_an_update(site):
     (timed,) = site.table.endpoints
     assert_that(timed.until, Equals(10.0 + LIMIT))
     site.now = 12.9
@@ -124,7 +124,7 @@
     assert_that(site.served(), HasLength(0))
 
 
-def test_younger_evidence_prolongs_at_the_next_refresh(site):
+def test_newer_evidence_extends_the_expiry_at_the_next_refresh(site):
     group = site.region.groups["g"]
     site.now = 10.1
     site.probe("h0", group, 0)
@@ -136,21 +136,21 @@
     assert_that(site.table.endpoints[0].until, Equals(10.1 + LIMIT))
 
 
-def test_restarted_engine_ends_a_group_at_once(site):
+def test_restarted_engine_removes_its_group_at_once(site):
     site.now = 10.1
     site.probe("h1", site.region.groups["g"], 1, incarnation="j")
     assert_that(site.update().groups, Is(True))
     assert_that(site.served(), Equals({}))
 
 
-def test_leaving_host_ends_a_group_at_once(site):
+def test_leaving_host_removes_its_group_at_once(site):
     site.hosts = {**site.hosts, "h1": make_entry("h1", leaving=True)}
     assert_that(site.update().groups, Is(True))
     assert_that(site.served(), Equals({}))
     assert_that(list(site.table.list_servable()), HasLength(1))
 
 
-def test_answer_that_comes_after_the_age_limit_brings_a_group_back(site):
+def test_answer_after_the_expiry_restores_a_group(site):
     site.now = 13.2
     site.update()
     assert_that(site.served(), Equals({}))
@@ -162,7 +162,7 @@
     assert_that(site.served(), Equals({"g": 5}))
 
 
-def test_composition_counts_once_a_doubled_rank_is_gone(site):
+def test_composition_is_served_once_a_duplicate_rank_is_gone(site):
     group = make_group(fence=8)
     for host, rank in (("h0", 0), ("h1", 1), ("h4", 1)):
         site.probe(host, group, rank)
@@ -216,7 +216,7 @@
     site.put_group(make_group())
     for step in steps:
         take_step(site, step, other)
-        # Between updates the table may serve less, never more.
+        # Between updates the table may list fewer groups, never more.
         for name, fence in site.served().items():
             if step[0] == "wait":
                 assert_that(site.expected().get(name), Equals(fence))
@@ -227,24 +227,24 @@
     assert_that(site.served(), Equals(site.expected()))
 
 
-def load(site, other, fence, ranks, late):
-    """Let engines show the groups, `g` perhaps under its reserve number."""
+def probe_loaded(site, other, fence, ranks, late):
+    """Probe engines that hold the groups, `g` also under its reserve fence."""
     for rank, host in enumerate(other.hosts):
         site.probe(host, other, rank, late=late)
     group = site.region.groups.get("g")
     if group is None:
         return
-    members = {0: group.hosts[0], 1: group.hosts[1], 4: "h4"}
+    hosts_by_number = {0: group.hosts[0], 1: group.hosts[1], 4: "h4"}
     hosts = group.hosts
     if fence:
-        hosts = tuple(members[number] for number in ranks)
+        hosts = tuple(hosts_by_number[number] for number in ranks)
         group = group._replace(fence=fence)
     for rank, host in enumerate(hosts):
         site.probe(host, group, rank, late=late)
 
 
 def take_step(site, step, other):
-    """Let one thing happen; all but time is followed by an update."""
+    """Apply one step; all steps but `wait` are followed by an update."""
     kind, *values = step
     if kind == "wait":
         site.now += values[0]
@@ -256,7 +256,7 @@
             group = other
         site.probe(host, group, rank, incarnation, late)
     elif kind == "load":
-        load(site, other, *values)
+        probe_loaded(site, other, *values)
     elif kind == "group":
         fence, phase, hosts = values
         site.put_group(make_group(fence=fence, phase=phase, hosts=hosts))
--- a/test/decisions/control/world.py
+++ b/test/decisions/control/world.py
@@ -1,7 +1,7 @@
-"""A small model of a region: log, engines, clocks and controllers.
+"""A simulation of a region: log, engines, clocks and controllers.
 
-One step of the model takes `STEP` seconds. Faults are switched on and off from
-outside; the decisions under test are called as the tasks of a node call them.
+One step of the simulation takes `STEP_S` seconds. Tests switch faults on and
+off; the decisions under test are called as the tasks of a node call them.
 """
 
 import random
@@ -35,9 +35,9 @@
 )
 from test.decisions.control.fakes import Engine, Log, STEP
 from test.decisions.control.oracle import (
+    AGE_LIMIT_S,
     check_load,
     DRIFT,
-    LIMIT,
     Owners,
     replay_configurations,
 )
@@ -69,7 +69,15 @@
 
 
 class Node:
-    """A candidate for the controller, with a clock of its own."""
+    """A candidate for the controller, with a clock of its own.
+
+    Attributes:
+      rate: seconds that its clock advances in a true second
+      paused: whether the process is stopped
+      cut: whether it has no connection to the log
+      hidden: engines that it has no connection to
+      starts: number of times that the process has started
+    """
 
     def __init__(self, world, name, rate):
         self.world = world
@@ -82,7 +90,7 @@
         self.start()
 
     def start(self):
-        """Begin as a new process that knows nothing."""
+        """Start as a new process without any state."""
         self.starts += 1
         now = self.now()
         self.writer = RecordWriter(node=self.name, incarnation=str(self.starts))
@@ -96,7 +104,7 @@
             writer=self.writer.writer,
             generator=random.Random(f"{self.name}{self.starts}"),
         )
-        self.presence = PresenceTable(limit=LIMIT, now=now)
+        self.presence = PresenceTable(limit=AGE_LIMIT_S, now=now)
         self.progress = Progress(pending_s=1.0)
         self.outbox: list[Record] = []
         self.orders: list[SendOrder] = []
@@ -110,7 +118,7 @@
         return self.reader.fold
 
     def step(self):
-        """Do what the tasks of a node do in one step."""
+        """Run the tasks of a node for one step."""
         self.send_orders()
         self.read()
         self.probe()
@@ -209,7 +217,7 @@
             self.orders.append(effect)
 
     def plan(self, wanted, hosts):
-        """Greedy first fit, the simplest planner that does the work."""
+        """Plan by greedy first fit, the simplest planner that suffices."""
         view = make_plan_input(
             region=self.region,
             wanted=wanted,
@@ -220,14 +228,18 @@
             now=self.now(),
         )
         free = [
-            one.host
-            for one in view.hosts
-            if one.free and one.present and not one.leaving
+            host.host
+            for host in view.hosts
+            if host.free and host.present and not host.leaving
         ]
         actions: list[Action] = []
         for group in view.groups:
-            since = group.missing_since
-            if since is None or self.now() < since + 2.0 or not free:
+            missing_since = group.missing_since
+            if (
+                missing_since is None
+                or self.now() < missing_since + 2.0
+                or not free
+            ):
                 continue
             hosts = tuple(
                 free.pop(0) if host in group.missing and free else host
@@ -236,16 +248,16 @@
             actions.append(RepairGroup(group.name, group.fence, hosts, "f"))
         for spec in view.models:
             size = spec["hosts_per_group"]
-            have = sum(
-                one.model == spec["name"] and one.version == spec["version"]
-                for one in view.groups
+            count = sum(
+                group.model == spec["name"] and group.version == spec["version"]
+                for group in view.groups
             )
-            while have < spec["groups"] and len(free) >= size:
+            while count < spec["groups"] and len(free) >= size:
                 hosts, free = tuple(free[:size]), free[size:]
                 actions.append(
                     FormGroup(spec["name"], spec["version"], (), hosts, "f")
                 )
-                have += 1
+                count += 1
         return tuple(actions)
 
     def snapshot(self):
@@ -261,7 +273,7 @@
                 self.world.config.append(self.config_writer.prepare(part))
 
     def flush(self):
-        """Append what waits, in order; an answer may be lost."""
+        """Append the waiting records in order; an answer may be lost."""
         while self.outbox and not (self.cut or self.world.out):
             record = self.outbox[0]
             if self.world.lose_appends > 0:
@@ -281,7 +293,18 @@
 
 
 class World:
-    """Everything together, with the true time in `now`."""
+    """The whole simulated region, with the true time in `now`.
+
+    Attributes:
+      out: whether the log is unavailable
+      unread: whether no node reads the log, while appends take effect
+      lose_appends: number of appends to delay instead of storing them
+      lose_answers: number of appends to store without an answer
+      order_delay: seconds from sending an order to its delivery
+      delayed: delayed appends, oldest first
+      orders_in_flight: times of delivery, senders and effects
+      leaving: hosts that are announced to leave
+    """
 
     def __init__(self, checks=(True, True, True, False, False)):
         self.now = 0.0
@@ -293,7 +316,7 @@
         self.lose_answers = 0
         self.order_delay = 0.0
         self.delayed: list[Record] = []
-        self.flying: list[Any] = []
+        self.orders_in_flight: list[Any] = []
         self.leaving: set[str] = set()
         self.owners = Owners()
         self.engines = {
@@ -307,30 +330,33 @@
 
     def entries(self):
         return tuple(
-            one.entry(one.name in self.leaving) for one in self.engines.values()
+            engine.entry(engine.name in self.leaving)
+            for engine in self.engines.values()
         )
 
     def apply(self, document, base=None):
-        """Publish a configuration, on the newest base unless one is given."""
+        """Publish a configuration, by default on the last accepted revision."""
         if base is None:
             base = replay_configurations(self.config.stored)
         body = ConfigurationApplied(base, "operator", "", document)
         self.config.append(self.operator.prepare(body))
 
     def send_order(self, node, effect):
-        self.flying.append((self.now + self.order_delay, node, effect))
+        self.orders_in_flight.append(
+            (self.now + self.order_delay, node, effect)
+        )
 
     def step(self):
         self.now += STEP
-        flying, self.flying = self.flying, []
-        for at, node, effect in flying:
-            if at > self.now:
-                self.flying.append((at, node, effect))
+        in_flight, self.orders_in_flight = self.orders_in_flight, []
+        for due_at, node, effect in in_flight:
+            if due_at > self.now:
+                self.orders_in_flight.append((due_at, node, effect))
             else:
                 self.deliver(node, effect)
         for engine in self.engines.values():
-            while engine.waiting and not engine.paused:
-                self.take(engine, *engine.waiting.pop(0))
+            while engine.delayed_orders and not engine.paused:
+                self.execute_order(engine, *engine.delayed_orders.pop(0))
             engine.step(self.now)
         for node in self.nodes:
             if not node.paused:
@@ -342,11 +368,11 @@
             return
         sent_at = node.now() - self.order_delay
         if engine.paused:
-            engine.waiting.append((None, effect.order, sent_at))
+            engine.delayed_orders.append((None, effect.order, sent_at))
         else:
-            self.take(engine, node, effect.order, sent_at)
+            self.execute_order(engine, node, effect.order, sent_at)
 
-    def take(self, engine, node, order, sent_at):
+    def execute_order(self, engine, node, order, sent_at):
         accepted = engine.take(order)
         if accepted and order.get("shard") is not None:
             check_load(self, engine.name, order["group"])
