--- a/chervilrock/decisions/planner/__init__.py
+++ b/chervilrock/decisions/planner/__init__.py
@@ -1,8 +1,8 @@
-"""Choice of the replica groups to form, repair and dissolve.
+"""Planning of the replica groups to form, repair and dissolve.
 
-`plan` decides on a whole view of a region at once. `Planner` keeps the same
-view indexed, so that the loss of one host costs little at any size. `prices`
-picks the costs that hold on a day.
+`plan` plans for a complete view of a region at once. `Planner` keeps the same
+view indexed, so that planning after the loss of one host is cheap in a region
+of any size. `prices` returns the costs that apply on a day.
 """
 
 from chervilrock.decisions.planner.base import GroupPlanner
--- a/chervilrock/decisions/planner/absence.py
+++ b/chervilrock/decisions/planner/absence.py
@@ -1,9 +1,9 @@
-"""How long hosts stay away, learnt from their past absences."""
+"""Estimates of how long hosts stay absent, from their past absences."""
 
 from bisect import bisect_right, insort
 from collections import deque
 
-_REMEMBERED = 256
+_MAX_ABSENCES = 256
 _PRIOR_S = (
     4.0,
     8.0,
@@ -18,64 +18,67 @@
     14_400.0,
     43_200.0,
 )
-_MIN_GAIN = 0.1
+_MIN_SAVING_FRACTION = 0.1
 
 
 class AbsenceHistory:
     """The lengths of past absences of hosts, in seconds.
 
-    It starts with a few assumed lengths, from short pauses to repairs, which
-    real ones push out.
+    The history starts with a few assumed lengths, from short pauses to
+    repairs. Observed lengths replace them over time.
     """
 
     def __init__(self) -> None:
-        self._recent = deque(_PRIOR_S, maxlen=_REMEMBERED)
+        self._recent = deque(_PRIOR_S, maxlen=_MAX_ABSENCES)
         self._sorted = sorted(_PRIOR_S)
 
-    def add(self, length: float) -> None:
-        """Remembers an absence that ended."""
+    def add(self, length_s: float) -> None:
+        """Records the length of an absence that ended."""
         if len(self._recent) == self._recent.maxlen:
             oldest = self._recent[0]
             del self._sorted[bisect_right(self._sorted, oldest) - 1]
-        self._recent.append(length)
-        insort(self._sorted, length)
+        self._recent.append(length_s)
+        insort(self._sorted, length_s)
 
-    def estimate_rest(self, age: float) -> float:
+    def estimate_remaining_s(self, age_s: float) -> float:
         """Returns the expected time until a missing host is back.
 
-        A host that is away for longer than any before is expected to stay
-        away for as long again.
+        A host that has been absent for longer than any recorded absence is
+        expected to stay absent for as long again.
 
         Args:
-          age: time that it has been missing, in seconds.
+          age_s: time that the host has been missing, in seconds.
         """
-        first = bisect_right(self._sorted, age)
+        first = bisect_right(self._sorted, age_s)
         count = len(self._sorted) - first
         if count == 0:
-            return age
-        return sum(self._sorted[first:]) / count - age
+            return age_s
+        return sum(self._sorted[first:]) / count - age_s
 
-    def is_wait_better(self, age: float, cost_s: float) -> bool:
-        """Tells whether to wait a little longer before a host is replaced.
+    def is_wait_better(self, age_s: float, cost_s: float) -> bool:
+        """Returns whether to wait longer before a missing host is replaced.
 
-        It compares a replacement now with the best time limit for the wait:
-        a host that is still missing at the limit is replaced then.
+        The cost of a replacement now is compared with the expected cost for
+        each possible time limit of the wait. A host that is still missing at
+        the limit is replaced then. Waiting has to save a minimum fraction.
 
         Args:
-          age: time that the host has been missing, in seconds.
-          cost_s: time that its replacement takes, in seconds.
+          age_s: time that the host has been missing, in seconds.
+          cost_s: time that a replacement takes, in seconds.
         """
-        first = bisect_right(self._sorted, age)
-        rest = self._sorted[first:]
-        bound = cost_s * (1 - _MIN_GAIN)
-        waited = 0.0
-        for index, length in enumerate(rest):
-            wait = length - age
-            if wait > cost_s:
+        first = bisect_right(self._sorted, age_s)
+        longer_absences = self._sorted[first:]
+        bound_s = cost_s * (1 - _MIN_SAVING_FRACTION)
+        waited_s = 0.0
+        for index, length_s in enumerate(longer_absences):
+            wait_s = length_s - age_s
+            if wait_s > cost_s:
                 return False
-            waited += wait
-            longer = len(rest) - index - 1
-            mean = (waited + longer * (wait + cost_s)) / len(rest)
-            if mean < bound:
+            waited_s += wait_s
+            longer_count = len(longer_absences) - index - 1
+            mean_s = (waited_s + longer_count * (wait_s + cost_s)) / len(
+                longer_absences
+            )
+            if mean_s < bound_s:
                 return True
         return False
--- a/chervilrock/decisions/planner/arrangement.py
+++ b/chervilrock/decisions/planner/arrangement.py
@@ -1,4 +1,4 @@
-"""A use of the hosts of fabric domains, and the actions that it takes."""
+"""An assignment of the hosts of fabric domains and the actions for it."""
 
 from typing import NamedTuple
 
@@ -9,29 +9,29 @@
 from chervilrock.decisions.planner.specs import Domain
 from chervilrock.generated.configuration import ModelSpec
 
-_REASON = "hosts are worth more elsewhere"
+_REASON = "hosts are worth more in another group"
 
 
-class Formed(NamedTuple):
-    """A group to form, and where."""
+class PlannedFormation(NamedTuple):
+    """A group to form and its domain."""
 
     spec: ModelSpec
     domain: Domain
 
 
-class Moved(NamedTuple):
-    """A group to dissolve and to form elsewhere."""
+class PlannedMove(NamedTuple):
+    """A group to dissolve and the domain where it is formed again."""
 
     group: GroupView
     domain: Domain
 
 
 class Arrangement:
-    """A better use of the hosts of domains.
+    """A better assignment of the hosts of domains to groups.
 
     Attributes:
       domains: the domains.
-      gain: what it saves against leaving all groups as they are.
+      gain: saving compared with leaving all groups as they are.
       dropped: groups to dissolve.
       moved: groups to move to the other domain.
       repaired: groups to repair.
@@ -39,20 +39,20 @@
     """
 
     def __init__(self, *, domains: tuple[Domain, ...], gain: float) -> None:
-        """Makes an arrangement that changes nothing."""
+        """Create an arrangement without changes."""
         self.domains = domains
         self.gain = gain
         self.dropped: list[GroupView] = []
-        self.moved: list[Moved] = []
+        self.moved: list[PlannedMove] = []
         self.repaired: list[GroupView] = []
-        self.formed: list[Formed] = []
+        self.formed: list[PlannedFormation] = []
 
 
-def arrange(draft: Draft, found: Arrangement) -> None:
+def add_arrangement(draft: Draft, found: Arrangement) -> None:
     """Adds the actions of an arrangement that can be carried out now.
 
-    Hosts of dissolved groups are free only later; until then the domain is
-    locked, so that nothing else takes the hosts meant for a group.
+    Hosts of dissolved groups become free only later. Until then the domain is
+    reserved, so that its hosts are not assigned to other groups.
     """
     for group in found.dropped:
         draft.dissolve(group, _REASON)
@@ -67,18 +67,18 @@
 
 
 def _repair(draft: Draft, found: Arrangement, group: GroupView) -> None:
-    """Repairs a group now, or keeps the free hosts of its domain for it."""
+    """Repairs a group now, or reserves its domains until it has hosts."""
     spec = draft.inventory.models[group.model]
     if not repair_group(draft, spec, group):
-        draft.wait(group)
-        draft.locked.update(found.domains)
+        draft.mark_waiting(group)
+        draft.reserved_domains.update(found.domains)
 
 
 def _form(draft: Draft, spec: ModelSpec, domain: Domain) -> None:
-    """Forms a group now, or keeps the free hosts of the domain for it."""
+    """Forms a group now, or reserves the domain until it has hosts."""
     free = draft.list_free(domain)
-    if domain in draft.locked or len(free) < spec["hosts_per_group"]:
+    if domain in draft.reserved_domains or len(free) < spec["hosts_per_group"]:
         draft.postpone(spec)
-        draft.locked.add(domain)
+        draft.reserved_domains.add(domain)
         return
     draft.form(spec, choose_hosts(spec, free), domain.name)
--- a/chervilrock/decisions/planner/base.py
+++ b/chervilrock/decisions/planner/base.py
@@ -10,13 +10,13 @@
 
     @abstractmethod
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
-        """Returns the actions for a whole view, the most urgent first.
+        """Returns the actions for a complete view, the most urgent first.
 
-        The caller carries the actions out and calls again with the new view;
-        hosts of a dissolved group can be used only once the view shows them
+        The caller carries out the actions and calls again with the new view.
+        Hosts of a dissolved group can be used only once the view reports them
         as free.
 
         Args:
           view: wanted models, costs, hosts and groups of the region.
-          now: present time in seconds, of the clock of `missing_since`.
+          now: current time in seconds, on the clock of `missing_since`.
         """
--- a/chervilrock/decisions/planner/baselines.py
+++ b/chervilrock/decisions/planner/baselines.py
@@ -1,4 +1,4 @@
-"""Plain planners to compare with."""
+"""Simple planners that serve as baselines in comparisons."""
 
 from chervilrock.decisions.actions import (
     Action,
@@ -21,20 +21,21 @@
     Domain,
     is_current,
     is_ending,
-    may_stand_in,
+    may_use_domain,
 )
 from chervilrock.generated.configuration import ModelSpec
 
 
 class GreedyFirstFit(GroupPlanner):
-    """Takes the first hosts that fit, in the order of the configuration.
+    """Assigns the first hosts that fit, in the order of the configuration.
 
-    A lost host is replaced by the first free host of its domain, at once; when
-    there is none, the group waits. Groups never give hosts to each other.
+    A lost host is replaced immediately by the first free host of its domain.
+    When there is none, the group waits. No group is dissolved to repair or
+    form another one.
     """
 
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
-        """Returns the actions for a whole view."""
+        """Returns the actions for a complete view."""
         del now
         draft = Draft(inventory=Inventory(view=view))
         dissolve_unwanted(draft)
@@ -50,13 +51,14 @@
 
 
 class RecreateFirstFit(GreedyFirstFit):
-    """Dissolves a group that cannot be repaired at once, and forms it anew.
+    """Dissolves and re-creates a group that cannot be repaired immediately.
 
-    Else it is like greedy first fit. The hosts of the group may go to others.
+    Otherwise it plans like `GreedyFirstFit`. The hosts of the dissolved group
+    may be assigned to other groups.
     """
 
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
-        """Returns the actions for a whole view."""
+        """Returns the actions for a complete view."""
         actions = super().plan(view, now)
         inventory = Inventory(view=view)
         repaired = {a.group for a in actions if not isinstance(a, FormGroup)}
@@ -73,16 +75,16 @@
 class NeverAcrossGroups(GroupPlanner):
     """The policy of this package without repair across groups.
 
-    It waits for hosts, fills ranks and places groups like the policy, but no
-    group is dissolved for the good of another one.
+    It waits for hosts, fills ranks and places groups like the policy, but
+    dissolves no group in favour of another one.
     """
 
     def __init__(self) -> None:
-        """Starts without a history."""
-        self._planner = Planner(rearranges=False)
+        """Create a planner without a history."""
+        self._planner = Planner(may_rearrange=False)
 
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
-        """Returns the actions for a whole view."""
+        """Returns the actions for a complete view."""
         return self._planner.plan(view, now)
 
 
@@ -105,7 +107,8 @@
     whole = [
         group
         for group in groups
-        if group.name in draft.touched or not draft.inventory.get_losses(group)
+        if group.name in draft.changed_groups
+        or not draft.inventory.get_losses(group)
     ]
     for _ in range(spec["groups"] - len(whole)):
         found = _find_first(draft, spec)
@@ -120,7 +123,7 @@
 ) -> tuple[Domain, tuple[HostView, ...]] | None:
     size = spec["hosts_per_group"]
     for domain in sorted(draft.inventory.free):
-        if not may_stand_in(spec, domain):
+        if not may_use_domain(spec, domain):
             continue
         free = draft.list_free(domain)
         if len(free) >= size + spec.get("spares", 0):
--- a/chervilrock/decisions/planner/estimates.py
+++ b/chervilrock/decisions/planner/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of the time that loads take and of what groups are worth."""
+"""Estimates of load times and of the worth of groups."""
 
 from typing import NamedTuple
 
@@ -8,12 +8,12 @@
 
 
 class LoadTimes(NamedTuple):
-    """How fast shards load.
+    """Parameters of the load times of shards.
 
     Attributes:
       shard_s: time to load one shard when the weight store is idle, seconds
-      parallel: shards that the weight store feeds at full speed at once
-      in_flight: shards that load already
+      parallel: shards that the weight store can deliver at full speed at once
+      in_flight: shards that are being loaded already
     """
 
     shard_s: float = 180.0
@@ -22,7 +22,7 @@
 
 
 def estimate_load(times: LoadTimes, shards: int) -> float:
-    """Returns the time to load some shards at once, in seconds."""
+    """Returns the time to load shards in parallel, in seconds."""
     if shards == 0:
         return 0.0
     together = shards + times.in_flight
@@ -32,12 +32,12 @@
 def estimate_worth(
     spec: ModelSpec, costs: Prices, accelerators: float
 ) -> float:
-    """Returns what a serving group of a model saves in a second.
+    """Returns the cost that a serving group of a model saves per second.
 
     Args:
       spec: the model.
-      costs: costs that hold now.
-      accelerators: accelerators of a host on average.
+      costs: costs that apply now.
+      accelerators: average number of accelerators per host.
     """
     hosts = spec["hosts_per_group"]
     return hosts * (
--- a/chervilrock/decisions/planner/evaluation.py
+++ b/chervilrock/decisions/planner/evaluation.py
@@ -1,105 +1,107 @@
-"""What a choice of ways is worth as a whole."""
+"""Evaluation of a combination of alternatives."""
 
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.estimates import estimate_load
 from chervilrock.decisions.planner.knowledge import (
     estimate_group_worth,
-    Knowledge,
+    PlanContext,
 )
-from chervilrock.decisions.planner.options import Treatment, Way
-from chervilrock.decisions.planner.scene import Scene
+from chervilrock.decisions.planner.options import Alternative, Treatment
+from chervilrock.decisions.planner.scene import Subproblem
 
-_HESITATION = 0.1
-_END_S = 40.0
-_ENDS = (Treatment.DROP, Treatment.MOVE)
+_SWITCHING_COST_FRACTION = 0.1
+_DISSOLVE_S = 40.0
+_DISSOLVING = (Treatment.DROP, Treatment.MOVE)
 _WHOLE = (Treatment.KEEP, Treatment.REPAIR, Treatment.FORM, Treatment.MOVE)
 
-Choice = tuple[Way, ...]
-"""A way for each group of a scene, and then for each offer."""
+Choice = tuple[Alternative, ...]
+"""One alternative for each group of a subproblem, then each candidate."""
 
 
 def estimate_value(
-    draft: Draft, knowledge: Knowledge, scene: Scene, choice: Choice
+    draft: Draft, context: PlanContext, subproblem: Subproblem, choice: Choice
 ) -> float:
-    """Returns what a choice is worth when all its loads share the store.
+    """Returns the value of a choice whose loads share the weight store.
 
-    The values of the options know of no other loads; here each group that
-    loads is down until all have loaded, and longer when others end first. A
-    whole group that ends costs something beside, so that small and uncertain
-    gains change nothing.
+    The values of the single options ignore other loads. Here each group that
+    loads is down until all have loaded, and longer when other groups have to
+    be dissolved first. Dissolving a whole group costs extra, so that small and
+    uncertain gains cause no change.
     """
-    shards = sum(way.shards for way in choice)
-    together_s = estimate_load(knowledge.times, shards)
-    if any(way.treatment in _ENDS for way in choice):
-        together_s += _END_S
-    value = sum(way.option.value for way in choice)
-    for way in choice:
-        if way.shards:
-            alone_s = estimate_load(knowledge.times, way.shards)
-            late_s = max(0.0, together_s - alone_s)
-            value -= late_s * estimate_group_worth(draft, way.spec)
-    return value - _estimate_hesitation(draft, knowledge, scene, choice)
+    shards = sum(alternative.shards for alternative in choice)
+    together_s = estimate_load(context.times, shards)
+    if any(alternative.treatment in _DISSOLVING for alternative in choice):
+        together_s += _DISSOLVE_S
+    value = sum(alternative.option.value for alternative in choice)
+    for alternative in choice:
+        if alternative.shards:
+            alone_s = estimate_load(context.times, alternative.shards)
+            delay_s = max(0.0, together_s - alone_s)
+            value -= delay_s * estimate_group_worth(draft, alternative.spec)
+    return value - _estimate_switching_cost(draft, context, subproblem, choice)
 
 
-def is_hasty(
+def is_premature(
     draft: Draft,
-    knowledge: Knowledge,
-    scene: Scene,
+    context: PlanContext,
+    subproblem: Subproblem,
     choice: Choice,
     present: Choice,
 ) -> bool:
-    """Tells whether to wait for missing hosts before a choice is carried out.
+    """Returns whether to wait for missing hosts before a choice is carried out.
 
     Args:
       draft: the plan so far.
-      knowledge: estimates.
-      scene: the domains.
+      context: estimates.
+      subproblem: the domains, groups and candidates.
       choice: the choice.
-      present: the best choice that ends no group.
+      present: the best choice that dissolves no group.
     """
-    ages = _list_ages(draft, knowledge, scene, choice)
-    rate = _get_rate(draft, choice) - _get_rate(draft, present)
-    if not ages or rate <= 0:
+    ages_s = _list_ages_s(draft, context, subproblem, choice)
+    rate = _get_worth_rate(draft, choice) - _get_worth_rate(draft, present)
+    if not ages_s or rate <= 0:
         return False
-    gain = estimate_value(draft, knowledge, scene, choice)
-    gain -= estimate_value(draft, knowledge, scene, present)
-    cost_s = scene.horizon - gain / rate
-    return knowledge.history.is_wait_better(min(ages), cost_s)
+    gain = estimate_value(draft, context, subproblem, choice)
+    gain -= estimate_value(draft, context, subproblem, present)
+    cost_s = subproblem.horizon_s - gain / rate
+    return context.history.is_wait_better(min(ages_s), cost_s)
 
 
-def _estimate_hesitation(
-    draft: Draft, knowledge: Knowledge, scene: Scene, choice: Choice
+def _estimate_switching_cost(
+    draft: Draft, context: PlanContext, subproblem: Subproblem, choice: Choice
 ) -> float:
-    """Returns what the end of whole groups costs beside."""
+    """Returns the extra cost of the whole groups that are dissolved."""
     cost = 0.0
-    for (group, _), way in zip(scene.groups, choice, strict=False):
-        if way.treatment in _ENDS and draft.is_whole(group):
-            form_s = knowledge.estimate_form(way.spec)
-            cost += form_s * estimate_group_worth(draft, way.spec)
-    return _HESITATION * cost
+    for (group, _), alternative in zip(subproblem.groups, choice, strict=False):
+        if alternative.treatment in _DISSOLVING and draft.is_whole(group):
+            form_s = context.estimate_form(alternative.spec)
+            cost += form_s * estimate_group_worth(draft, alternative.spec)
+    return _SWITCHING_COST_FRACTION * cost
 
 
-def _get_rate(draft: Draft, choice: Choice) -> float:
-    """Returns the worth of the groups that are whole in the end."""
+def _get_worth_rate(draft: Draft, choice: Choice) -> float:
+    """Returns the saving per second of the groups that end up whole."""
     return sum(
-        estimate_group_worth(draft, way.spec)
-        for way in choice
-        if way.treatment in _WHOLE
+        estimate_group_worth(draft, alternative.spec)
+        for alternative in choice
+        if alternative.treatment in _WHOLE
     )
 
 
-def _list_ages(
-    draft: Draft, knowledge: Knowledge, scene: Scene, choice: Choice
+def _list_ages_s(
+    draft: Draft, context: PlanContext, subproblem: Subproblem, choice: Choice
 ) -> list[float]:
-    """Returns how long the hosts are missing that call for a change."""
+    """Returns how long the hosts that cause the choice have been missing."""
     inventory = draft.inventory
     names = {
-        group.name for group, _ in scene.groups if not draft.is_whole(group)
+        group.name
+        for group, _ in subproblem.groups
+        if not draft.is_whole(group)
     }
-    for way in choice:
-        if way.treatment == Treatment.FORM:
-            names |= inventory.broken.get(way.spec["name"], set())
+    for alternative in choice:
+        if alternative.treatment == Treatment.FORM:
+            names |= inventory.broken.get(alternative.spec["name"], set())
     return [
-        knowledge.get_age(inventory.groups[name])
-        for name in sorted(names - draft.waiting - draft.touched)
+        context.get_age_s(inventory.groups[name])
+        for name in sorted(names - draft.waiting - draft.changed_groups)
     ]
--- a/chervilrock/decisions/planner/inventory.py
+++ b/chervilrock/decisions/planner/inventory.py
@@ -21,13 +21,13 @@
 
 
 class Inventory:
-    """What is known of a region, indexed for decisions.
+    """Index of the hosts, groups and wanted models of a region.
 
     Attributes:
       hosts: hosts by name.
       groups: groups by name that are not dissolved.
       models: wanted models by name.
-      prices: costs that hold now.
+      prices: costs that apply now.
       free: names of the hosts that may be used, for each fabric domain that
         has any.
       releasing: names of the hosts that will soon be free, for each fabric
@@ -40,7 +40,7 @@
         do not end, for each model that has any.
       broken: names of the groups of the wanted version that have lost a host,
         for each model that has any.
-      accelerators_per_host: accelerators of a host on average.
+      accelerators_per_host: average number of accelerators per host.
     """
 
     def __init__(self, *, view: PlanInput) -> None:
@@ -76,7 +76,7 @@
             self._index_state(group)
 
     def put_host(self, host: HostView) -> None:
-        """Adds a host or replaces what is known of it."""
+        """Adds a host or replaces its entry."""
         old = self.hosts.get(host.host)
         if old is not None:
             _discard(self.free, domain_of(old), old.host)
@@ -86,7 +86,7 @@
         self._index_losses(host.host)
 
     def remove_host(self, name: str) -> None:
-        """Forgets a host; a group that has it has lost it."""
+        """Removes a host; it counts as lost for its group."""
         host = self.hosts.pop(name, None)
         if host is not None:
             _discard(self.free, domain_of(host), name)
@@ -94,7 +94,7 @@
             self._index_losses(name)
 
     def put_group(self, group: GroupView) -> None:
-        """Adds a group or replaces what is known of it."""
+        """Adds a group or replaces its entry."""
         self.remove_group(group.name)
         self.groups[group.name] = group
         self.groups_of_model.setdefault(group.model, set()).add(group.name)
@@ -110,7 +110,7 @@
         self._index_state(group)
 
     def remove_group(self, name: str) -> None:
-        """Forgets a group; its hosts stay as their own views say."""
+        """Removes a group; its hosts keep the state of their own views."""
         group = self.groups.pop(name, None)
         if group is None:
             return
@@ -126,7 +126,7 @@
                 self.put_host(host)
 
     def is_healthy(self, group: GroupView, name: str) -> bool:
-        """Tells whether a host of a group is present and stays."""
+        """Returns whether a host of a group is present and not leaving."""
         host = self.hosts.get(name)
         if host is None or host.leaving:
             return False
@@ -137,7 +137,7 @@
         return self._losses[group.name]
 
     def is_serving(self, group: GroupView) -> bool:
-        """Tells whether a group serves and has lost no host."""
+        """Returns whether a group serves and has lost no host."""
         return group.phase == GroupPhase.SERVING and not self.get_losses(group)
 
     def find_domain(self, group: GroupView) -> Domain | None:
@@ -153,7 +153,7 @@
         return domains.pop() if len(domains) == 1 else None
 
     def count_accelerators(self) -> float:
-        """Returns the accelerators of a host on average."""
+        """Returns the average number of accelerators per host."""
         if not self.hosts:
             return 1.0
         total = sum(host.accelerators for host in self.hosts.values())
@@ -165,14 +165,14 @@
         )
 
     def _index_losses(self, host: str) -> None:
-        """Finds again what the group of a host has lost."""
+        """Updates the losses of the group of a host."""
         group = self.groups.get(self.owner.get(host, ""))
         if group is not None:
             self._losses[group.name] = self._find_losses(group)
             self._index_state(group)
 
     def _index_state(self, group: GroupView) -> None:
-        """Enters a group into the indexes by state, and out of others."""
+        """Updates the indexes by state for a group."""
         self._unindex_state(group)
         losses = self._losses[group.name]
         if self.is_serving(group):
@@ -202,7 +202,7 @@
             index.setdefault(domain_of(host), set()).add(host.host)
 
     def _is_usable(self, host: HostView) -> bool:
-        """Tells whether a host may be used, now or once it is released."""
+        """Returns whether a host may be used, now or once it is released."""
         return (
             (host.free or host.releasing)
             and host.present
@@ -217,7 +217,7 @@
 
 
 def _discard(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
-    """Removes a name from an index that holds no empty sets."""
+    """Removes a name from an index and deletes the set when it is empty."""
     names = index.get(key)
     if names is None:
         return
--- a/chervilrock/decisions/planner/options.py
+++ b/chervilrock/decisions/planner/options.py
@@ -1,8 +1,8 @@
-"""Ways to treat the groups of a scene, with what they are worth.
+"""Alternatives for the groups of a subproblem, and their values.
 
 Values compare the time until missing hosts are expected back (the horizon)
-with the time of loads. Zero is a group that is down for the horizon and has
-to be formed after it.
+with the load times. A group that is down for the horizon and has to be formed
+afterwards has the value zero.
 """
 
 import enum
@@ -12,24 +12,24 @@
 from chervilrock.decisions.planner.estimates import estimate_load
 from chervilrock.decisions.planner.knowledge import (
     estimate_group_worth,
-    Knowledge,
+    PlanContext,
 )
 from chervilrock.decisions.planner.packing import Option
-from chervilrock.decisions.planner.scene import Scene, Standing
-from chervilrock.decisions.planner.specs import may_stand_in
+from chervilrock.decisions.planner.scene import PlacedGroup, Subproblem
+from chervilrock.decisions.planner.specs import may_use_domain
 from chervilrock.generated.configuration import ModelSpec
 
-_DISLIKE = 0.99
+_FORM_DISCOUNT = 0.99
 
 
 class Treatment(enum.Enum):
-    """What is done with a group that stands or is missing.
+    """What is done with an existing or a missing group.
 
     LEAVE: a missing group is not formed.
     DROP: it is dissolved.
-    KEEP: it stays, as it is whole.
-    REPAIR: it stays and gets other hosts.
-    WAIT: it stays and gets its own hosts back.
+    KEEP: it is whole and stays unchanged.
+    REPAIR: it stays and its lost hosts are replaced.
+    WAIT: it stays and waits for its hosts to return.
     FORM: a missing group is formed.
     MOVE: it is dissolved and formed in the other domain.
     """
@@ -43,98 +43,116 @@
     MOVE = enum.auto()
 
 
-class Way(NamedTuple):
-    """One way to treat a group.
+class Alternative(NamedTuple):
+    """One alternative for a group.
 
     Attributes:
       treatment: what is done
       spec: model of the group
-      place: index of the domain where the group then stands
-      option: the hosts that it takes, and its value
+      domain_index: index of the domain that the group then uses
+      option: the hosts that the group then uses, and the value
       shards: shards that it loads
     """
 
     treatment: Treatment
     spec: ModelSpec
-    place: int
+    domain_index: int
     option: Option
     shards: int = 0
 
 
-def list_ways(
-    draft: Draft, knowledge: Knowledge, scene: Scene, standing: Standing
-) -> tuple[Way, ...]:
-    """Returns all ways to treat a group that stands in the scene."""
-    spec = draft.inventory.models[standing.group.model]
-    nothing = Option(scene.take(0, 0), 0.0)
+def list_alternatives(
+    draft: Draft,
+    context: PlanContext,
+    subproblem: Subproblem,
+    placed_group: PlacedGroup,
+) -> tuple[Alternative, ...]:
+    """Returns all alternatives for an existing group."""
+    spec = draft.inventory.models[placed_group.group.model]
+    nothing = Option(subproblem.make_host_counts(0, 0), 0.0)
     return (
-        Way(Treatment.DROP, spec, standing.place, nothing),
-        *list_ways_to_stay(draft, knowledge, scene, standing),
+        Alternative(Treatment.DROP, spec, placed_group.domain_index, nothing),
+        *list_alternatives_in_place(draft, context, subproblem, placed_group),
         *(
-            way._replace(treatment=Treatment.MOVE)
-            for way in _list_ways_to_form(draft, knowledge, scene, spec)
-            if way.place != standing.place
+            alternative._replace(treatment=Treatment.MOVE)
+            for alternative in _list_formations(
+                draft, context, subproblem, spec
+            )
+            if alternative.domain_index != placed_group.domain_index
         ),
     )
 
 
-def list_ways_to_stay(
-    draft: Draft, knowledge: Knowledge, scene: Scene, standing: Standing
-) -> tuple[Way, ...]:
-    """Returns the ways that leave a group where it is."""
-    group, place = standing
+def list_alternatives_in_place(
+    draft: Draft,
+    context: PlanContext,
+    subproblem: Subproblem,
+    placed_group: PlacedGroup,
+) -> tuple[Alternative, ...]:
+    """Returns the alternatives that keep a group in its domain."""
+    group, domain_index = placed_group
     spec = draft.inventory.models[group.model]
     worth = estimate_group_worth(draft, spec)
     size = spec["hosts_per_group"]
-    form_s = knowledge.estimate_form(spec)
+    form_s = context.estimate_form(spec)
     if draft.is_whole(group):
-        value = worth * (scene.horizon + form_s)
-        keep = Option(scene.take(place, size), value)
-        return (Way(Treatment.KEEP, spec, place, keep),)
+        value = worth * (subproblem.horizon_s + form_s)
+        keep = Option(subproblem.make_host_counts(domain_index, size), value)
+        return (Alternative(Treatment.KEEP, spec, domain_index, keep),)
     losses = len(draft.inventory.get_losses(group))
-    repair_s = estimate_load(knowledge.times, losses)
+    repair_s = estimate_load(context.times, losses)
     repair = Option(
-        scene.take(place, size), worth * (scene.horizon - repair_s + form_s)
+        subproblem.make_host_counts(domain_index, size),
+        worth * (subproblem.horizon_s - repair_s + form_s),
     )
     saved_s = max(0.0, form_s - repair_s)
     if group.name in draft.waiting:
-        rest = knowledge.estimate_rest(group)
-        saved_s = form_s + max(0.0, scene.horizon - rest)
-    wait = Option(scene.take(place, size - losses), worth * saved_s)
+        remaining_s = context.estimate_remaining_s(group)
+        saved_s = form_s + max(0.0, subproblem.horizon_s - remaining_s)
+    wait = Option(
+        subproblem.make_host_counts(domain_index, size - losses),
+        worth * saved_s,
+    )
     return (
-        Way(Treatment.REPAIR, spec, place, repair, losses),
-        Way(Treatment.WAIT, spec, place, wait),
+        Alternative(Treatment.REPAIR, spec, domain_index, repair, losses),
+        Alternative(Treatment.WAIT, spec, domain_index, wait),
     )
 
 
-def list_ways_to_offer(
-    draft: Draft, knowledge: Knowledge, scene: Scene, spec: ModelSpec
-) -> tuple[Way, ...]:
-    """Returns the ways to treat a missing group."""
-    nothing = Option(scene.take(0, 0), 0.0)
+def list_alternatives_to_form(
+    draft: Draft, context: PlanContext, subproblem: Subproblem, spec: ModelSpec
+) -> tuple[Alternative, ...]:
+    """Returns the alternatives for a missing group."""
+    nothing = Option(subproblem.make_host_counts(0, 0), 0.0)
     return (
-        Way(Treatment.LEAVE, spec, 0, nothing),
-        *_list_ways_to_form(draft, knowledge, scene, spec),
+        Alternative(Treatment.LEAVE, spec, 0, nothing),
+        *_list_formations(draft, context, subproblem, spec),
     )
 
 
-def _list_ways_to_form(
-    draft: Draft, knowledge: Knowledge, scene: Scene, spec: ModelSpec
-) -> list[Way]:
-    """Returns the ways to form a group in one of the domains."""
+def _list_formations(
+    draft: Draft, context: PlanContext, subproblem: Subproblem, spec: ModelSpec
+) -> list[Alternative]:
+    """Returns the alternatives that form a group in one of the domains."""
     size = spec["hosts_per_group"]
-    if scene.horizon <= knowledge.estimate_form(spec):
+    if subproblem.horizon_s <= context.estimate_form(spec):
         return []
-    value = estimate_group_worth(draft, spec) * scene.horizon * _DISLIKE
+    value = (
+        estimate_group_worth(draft, spec)
+        * subproblem.horizon_s
+        * _FORM_DISCOUNT
+    )
     spares = spec.get("spares", 0)
     return [
-        Way(
+        Alternative(
             Treatment.FORM,
             spec,
-            place,
-            Option(scene.take(place, size), value, spares),
+            domain_index,
+            Option(
+                subproblem.make_host_counts(domain_index, size), value, spares
+            ),
             size,
         )
-        for place, domain in enumerate(scene.domains)
-        if may_stand_in(spec, domain)
+        for domain_index, domain in enumerate(subproblem.domains)
+        if may_use_domain(spec, domain)
     ]
--- a/chervilrock/decisions/planner/order.py
+++ b/chervilrock/decisions/planner/order.py
@@ -1,10 +1,10 @@
 """Order of the loads that a plan causes.
 
-The weight store shares its rate among all loads, so loads that begin together
-end together, as late as the last of them would in a row. Groups are therefore
-formed one after the other, those first that are worth most for each shard,
-with just enough loads at once to use the whole rate. Repairs load little and
-never wait.
+The weight store shares its bandwidth among all loads. Loads that start
+together therefore all end as late as the last of them would in a sequence. New
+groups are formed in the order of their worth per shard, with just enough
+parallel loads to use the whole bandwidth. Repairs load few shards and are never
+delayed.
 """
 
 from chervilrock.decisions.actions import (
@@ -16,25 +16,25 @@
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.knowledge import (
     estimate_group_worth,
-    Knowledge,
+    PlanContext,
 )
 
 
-def order_actions(draft: Draft, knowledge: Knowledge) -> tuple[Action, ...]:
+def order_actions(draft: Draft, context: PlanContext) -> tuple[Action, ...]:
     """Returns the actions of a draft, the most urgent first.
 
-    New groups beyond the rate of the weight store are left for later plans.
+    New groups beyond the bandwidth of the weight store are left to later plans.
     """
     ends = [a for a in draft.actions if isinstance(a, DissolveGroup)]
     repairs = [a for a in draft.actions if isinstance(a, RepairGroup)]
     forms = [a for a in draft.actions if isinstance(a, FormGroup)]
     repairs.sort(key=lambda each: -_rate_repair(draft, each))
     forms.sort(key=lambda each: -_rate_form(draft, each))
-    loading = float(knowledge.times.in_flight)
+    loading = float(context.times.in_flight)
     loading += sum(_count_new(draft, repair) for repair in repairs)
     begun: list[FormGroup] = []
     for form in forms:
-        if loading >= knowledge.times.parallel:
+        if loading >= context.times.parallel:
             break
         loading += len(form.hosts)
         begun.append(form)
@@ -42,7 +42,7 @@
 
 
 def _rate_repair(draft: Draft, action: RepairGroup) -> float:
-    """Returns the worth of a repaired group for each shard that it loads."""
+    """Returns the worth of a repaired group per shard that it loads."""
     group = draft.inventory.groups[action.group]
     spec = draft.inventory.models[group.model]
     shards = max(1, _count_new(draft, action))
@@ -50,12 +50,12 @@
 
 
 def _rate_form(draft: Draft, action: FormGroup) -> float:
-    """Returns the worth of a new group for each shard that it loads."""
+    """Returns the worth of a new group per shard that it loads."""
     spec = draft.inventory.models[action.model]
     return estimate_group_worth(draft, spec) / len(action.hosts)
 
 
 def _count_new(draft: Draft, action: RepairGroup) -> int:
-    """Returns the number of hosts that a repair brings in."""
+    """Returns the number of hosts that a repair adds to its group."""
     group = draft.inventory.groups[action.group]
     return len(set(action.hosts).difference(group.hosts))
--- a/chervilrock/decisions/planner/packing.py
+++ b/chervilrock/decisions/planner/packing.py
@@ -1,15 +1,15 @@
-"""Exact choice of the groups that the hosts of fabric domains carry."""
+"""Exact choice of the groups that run on the hosts of fabric domains."""
 
 from typing import NamedTuple
 
 
 class Option(NamedTuple):
-    """One way to treat an item.
+    """One option for an item.
 
     Attributes:
-      hosts: hosts that it takes in each of the domains
-      value: what it is worth
-      reserve: hosts that must stay free in each domain where it takes any
+      hosts: number of hosts that it uses in each of the domains
+      value: its value
+      reserve: hosts that must stay free in each domain where it uses any
     """
 
     hosts: tuple[int, ...]
@@ -18,7 +18,7 @@
 
 
 class Packing(NamedTuple):
-    """The best choice.
+    """A combination of options.
 
     Attributes:
       value: sum of the values
@@ -35,10 +35,10 @@
 def pack(
     items: tuple[tuple[Option, ...], ...], hosts: tuple[int, ...]
 ) -> Packing | None:
-    """Chooses one option for each item, of the greatest value together.
+    """Chooses one option for each item so that the total value is greatest.
 
-    It is exact but for the reserves, which bind only the items before them;
-    items with a reserve belong at the end.
+    The result is exact except for reserves, which are checked only against
+    the items before them. Items with a reserve should come last.
 
     Args:
       items: the options of each item; an item that may be left out has an
@@ -46,7 +46,7 @@
       hosts: number of hosts in each domain.
 
     Returns:
-      The best choice, None when the hosts do not suffice for any.
+      The best combination, None when no combination fits the hosts.
     """
     best: dict[_Used, Packing] = {(0,) * len(hosts): Packing(0.0, ())}
     for options in items:
@@ -59,7 +59,7 @@
     options: tuple[Option, ...],
     hosts: tuple[int, ...],
 ) -> dict[_Used, Packing]:
-    """Returns the best choices by the hosts used, with one more item."""
+    """Returns the best packings by used hosts, extended by one item."""
     extended: dict[_Used, Packing] = {}
     for used, packing in best.items():
         for index, option in enumerate(options):
@@ -74,7 +74,7 @@
 
 
 def _add(used: _Used, option: Option, hosts: tuple[int, ...]) -> _Used | None:
-    """Returns the hosts used with an option, None when there are too few."""
+    """Returns the used hosts with an option, None when it does not fit."""
     total: list[int] = []
     for before, more, limit in zip(used, option.hosts, hosts, strict=True):
         after = before + more
--- a/chervilrock/decisions/planner/placement.py
+++ b/chervilrock/decisions/planner/placement.py
@@ -1,4 +1,4 @@
-"""Ranks of hosts in a group, so that cached shards are used again."""
+"""Assignment of hosts to the ranks of a group that reuses cached shards."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def caches_model(spec: ModelSpec, host: HostView) -> bool:
-    """Tells whether a host caches a shard that the model can use."""
+    """Returns whether a host caches a shard that the model can use."""
     shard = host.loaded
     return (
         shard is not None
@@ -25,7 +25,7 @@
 
 
 def caches_rank(spec: ModelSpec, host: HostView, rank: int) -> bool:
-    """Tells whether a host caches the shard of one rank of the model."""
+    """Returns whether a host caches the shard of one rank of the model."""
     return _get_cached_rank(spec, host) == rank
 
 
@@ -34,8 +34,9 @@
 ) -> tuple[HostView, ...]:
     """Chooses the hosts of a new group, in the order of their ranks.
 
-    Each cached rank is used once; the other ranks go to hosts that cache
-    nothing of the model before hosts that cache a rank already covered.
+    Each cached rank is assigned to one host that caches it. The other ranks go
+    first to hosts that cache nothing of the model, then to hosts that cache a
+    rank that is already assigned.
 
     Args:
       spec: the model.
@@ -62,7 +63,7 @@
     ranks: Iterable[int],
     hosts: Iterable[HostView],
 ) -> dict[int, HostView]:
-    """Chooses the hosts that take over ranks of a broken group.
+    """Chooses the hosts that fill ranks of a broken group.
 
     Args:
       spec: the model of the group.
--- a/chervilrock/decisions/planner/planner.py
+++ b/chervilrock/decisions/planner/planner.py
@@ -1,4 +1,4 @@
-"""The planner: a full plan, and an index that is kept between plans."""
+"""The planner, with an index of the region that is kept between plans."""
 
 from chervilrock.decisions.actions import (
     Action,
@@ -12,7 +12,7 @@
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.estimates import LoadTimes
 from chervilrock.decisions.planner.inventory import domain_of, Inventory
-from chervilrock.decisions.planner.knowledge import Knowledge
+from chervilrock.decisions.planner.knowledge import PlanContext
 from chervilrock.decisions.planner.loads import LoadHistory
 from chervilrock.decisions.planner.order import order_actions
 from chervilrock.decisions.planner.policy import (
@@ -27,36 +27,36 @@
 
 
 def plan(view: PlanInput, now: float) -> tuple[Action, ...]:
-    """Returns the actions for a whole view, the most urgent first.
+    """Returns the actions for a complete view, the most urgent first.
 
-    It knows no history; a `Planner` learns one from the views it sees.
+    It has no history; a `Planner` builds one from the views that it receives.
 
     Args:
       view: wanted models, costs, hosts and groups of the region.
-      now: present time in seconds.
+      now: current time in seconds.
     """
     return Planner().plan(view, now)
 
 
 class Planner(GroupPlanner):
-    """Plans with the policy of this package and learns from what it sees.
+    """Plans with the policy of this package and keeps a history of the region.
 
-    `plan` takes a whole view. Between whole views the index can be kept up to
-    date with single changes, each of which answers with the actions that it
-    alone calls for: the work grows with the groups of a model and the hosts
-    of a domain, not with all hosts.
+    `plan` uses a complete view. Between complete views the index can be updated
+    with single changes, each of which returns just the actions that it
+    requires. The work for a change grows with the groups of a model and the
+    hosts of a domain, not with all hosts.
     """
 
     def __init__(
-        self, *, times: LoadTimes | None = None, rearranges: bool = True
+        self, *, times: LoadTimes | None = None, may_rearrange: bool = True
     ) -> None:
-        """Starts without a history.
+        """Create a planner without a history.
 
         Args:
-          times: how fast shards load, None to learn it.
-          rearranges: whether groups may be dissolved for better ones.
+          times: parameters of the load times, None to estimate them.
+          may_rearrange: whether groups may be dissolved for more valuable ones.
         """
-        self._rearranges = rearranges
+        self._may_rearrange = may_rearrange
         self._times = times
         self._loads = LoadHistory()
         self._releases = ReleaseHistory()
@@ -65,26 +65,28 @@
         self._inventory = Inventory(view=_EMPTY)
 
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
-        """Returns the actions for a whole view, the most urgent first."""
-        self._inventory = Inventory(view=self._releases.mark(view, now))
+        """Returns the actions for a complete view, the most urgent first."""
+        self._inventory = Inventory(
+            view=self._releases.mark_releasing(view, now)
+        )
         for host in view.hosts:
-            self._learn(host, now)
+            self._record_presence(host, now)
         self._loads.observe(view.groups, now)
         return self.replan(now)
 
     def replan(self, now: float) -> tuple[Action, ...]:
-        """Returns the actions for everything in the index."""
+        """Returns the actions for the whole region as indexed."""
         draft = Draft(inventory=self._inventory)
-        knowledge = self._know(now)
-        decide(draft, knowledge, rearranges=self._rearranges)
-        return order_actions(draft, knowledge)
+        context = self._make_context(now)
+        decide(draft, context, may_rearrange=self._may_rearrange)
+        return order_actions(draft, context)
 
     def lose_host(self, name: str, now: float) -> tuple[Action, ...]:
-        """Notes that a host is missing, and repairs its group.
+        """Records that a host is missing, and plans the repair of its group.
 
         Args:
           name: name of the host.
-          now: present time in seconds.
+          now: current time in seconds.
 
         Returns:
           The actions for this loss; none when the host was in no group or is
@@ -104,15 +106,20 @@
         )
         inventory.put_group(group)
         draft = Draft(inventory=inventory)
-        decide_group(draft, self._know(now), group, rearranges=self._rearranges)
+        decide_group(
+            draft,
+            self._make_context(now),
+            group,
+            may_rearrange=self._may_rearrange,
+        )
         return tuple(draft.actions)
 
     def gain_host(self, host: HostView, now: float) -> tuple[Action, ...]:
-        """Notes that a host is there, and uses it in its fabric domain.
+        """Records that a host is present, and plans for its fabric domain.
 
         Args:
-          host: the host; its group, if any, is known from before.
-          now: present time in seconds.
+          host: the host; its group, if any, is in the index already.
+          now: current time in seconds.
         """
         inventory = self._inventory
         self.put_host(host, now)
@@ -124,38 +131,38 @@
                 group._replace(missing=missing, missing_since=since)
             )
         draft = Draft(inventory=inventory)
-        knowledge = self._know(now)
-        decide_domain(draft, knowledge, domain_of(host))
-        return order_actions(draft, knowledge)
+        context = self._make_context(now)
+        decide_domain(draft, context, domain_of(host))
+        return order_actions(draft, context)
 
     def change_configuration(
         self, models: tuple[ModelSpec, ...], costs: Prices, now: float
     ) -> tuple[Action, ...]:
-        """Takes over wanted models and costs, and plans everything."""
+        """Replaces the wanted models and costs, and plans the whole region."""
         self._inventory.set_configuration(models, costs)
         return self.replan(now)
 
     def put_host(self, host: HostView, now: float) -> None:
-        """Adds a host to the index or replaces what is known of it."""
+        """Adds a host to the index or replaces its entry."""
         self._inventory.put_host(host)
-        self._learn(host, now)
+        self._record_presence(host, now)
 
     def put_group(self, group: GroupView) -> None:
-        """Adds a group to the index or replaces what is known of it."""
+        """Adds a group to the index or replaces its entry."""
         self._inventory.put_group(group)
 
     def remove_group(self, name: str) -> None:
         """Removes a dissolved group from the index."""
         self._inventory.remove_group(name)
 
-    def _know(self, now: float) -> Knowledge:
+    def _make_context(self, now: float) -> PlanContext:
         times = self._times
         if times is None:
             times = self._loads.estimate(len(self._inventory.hosts))
-        return Knowledge(times, self._history, now)
+        return PlanContext(times, self._history, now)
 
-    def _learn(self, host: HostView, now: float) -> None:
-        """Notes when a host went, and for how long once it is back."""
+    def _record_presence(self, host: HostView, now: float) -> None:
+        """Records when a host became absent, and the length once it returns."""
         if not host.present:
             self._absent_since.setdefault(host.host, now)
         elif host.host in self._absent_since:
--- a/chervilrock/decisions/planner/prices.py
+++ b/chervilrock/decisions/planner/prices.py
@@ -7,10 +7,10 @@
 
 
 def prices(objective: ObjectiveSpec | None, day: str) -> Prices:
-    """Returns the costs that hold on a day.
+    """Returns the costs that apply on a day.
 
-    The first period of the calendar that contains the day wins; outside of
-    all periods the costs of the objective itself hold.
+    The first period of the calendar that contains the day applies. Outside of
+    all periods the costs of the objective itself apply.
 
     Args:
       objective: the objective of the configuration, None for the defaults.
@@ -28,7 +28,7 @@
 
 
 def _contains(period: PeriodSpec, day: str) -> bool:
-    """Tells whether a day is in a period, which may span the new year."""
+    """Returns whether a day is in a period, which may span the new year."""
     start, end = period["start"], period["end"]
     if start <= end:
         return start <= day <= end
--- a/chervilrock/decisions/planner/rearrangement.py
+++ b/chervilrock/decisions/planner/rearrangement.py
@@ -1,8 +1,8 @@
-"""Other uses of the hosts of fabric domains, so that more groups are whole.
+"""Reassignment of the hosts of fabric domains to make more groups whole.
 
-For one or two domains the best set of groups is chosen exactly, out of those
-that stand there and those that are missing. Groups may be dissolved for others
-that are worth more, or moved from one domain to the other.
+For one or two domains the best set of groups is chosen exactly, from those
+that exist there and those that are missing. Groups may be dissolved in favour
+of others that are worth more, or moved from one domain to the other.
 """
 
 from collections.abc import Iterator
@@ -10,129 +10,147 @@
 
 from chervilrock.decisions.planner.arrangement import (
     Arrangement,
-    Formed,
-    Moved,
+    PlannedFormation,
+    PlannedMove,
 )
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.evaluation import (
     Choice,
     estimate_value,
-    is_hasty,
+    is_premature,
 )
-from chervilrock.decisions.planner.knowledge import Knowledge
+from chervilrock.decisions.planner.knowledge import PlanContext
 from chervilrock.decisions.planner.options import (
-    list_ways,
-    list_ways_to_offer,
-    list_ways_to_stay,
+    Alternative,
+    list_alternatives,
+    list_alternatives_in_place,
+    list_alternatives_to_form,
     Treatment,
-    Way,
 )
 from chervilrock.decisions.planner.packing import pack
 from chervilrock.decisions.planner.scene import (
     list_last_serving,
-    make_scene,
-    Scene,
+    make_subproblem,
+    Subproblem,
 )
 from chervilrock.decisions.planner.specs import Domain
 from chervilrock.generated.configuration import ModelSpec
 
-_MOST_KEPT = 8
+_MAX_KEPT_SETS = 8
 
-Ways = list[tuple[Way, ...]]
+Alternatives = list[tuple[Alternative, ...]]
 
 
 def find_arrangement(
     draft: Draft,
-    knowledge: Knowledge,
+    context: PlanContext,
     domains: tuple[Domain, ...],
     missing: list[ModelSpec],
     *,
-    drops: bool = True,
+    may_dissolve: bool = True,
 ) -> Arrangement | None:
-    """Returns the best arrangement of domains when it beats the present one.
+    """Returns the best arrangement of domains if it improves the present one.
 
     Args:
       draft: the plan so far.
-      knowledge: estimates.
+      context: estimates.
       domains: one or two domains.
-      missing: models that lack a group, each as often as it lacks one.
-      drops: whether groups may be dissolved or moved.
+      missing: models that lack a group, one entry per missing group.
+      may_dissolve: whether groups may be dissolved or moved.
     """
-    scene = make_scene(draft, knowledge, domains, missing)
-    stay = [
-        list_ways_to_stay(draft, knowledge, scene, standing)
-        for standing in scene.groups
+    subproblem = make_subproblem(draft, context, domains, missing)
+    in_place = [
+        list_alternatives_in_place(draft, context, subproblem, placed_group)
+        for placed_group in subproblem.groups
     ]
-    offers = [
-        list_ways_to_offer(draft, knowledge, scene, spec)
-        for spec in scene.offers
+    candidates = [
+        list_alternatives_to_form(draft, context, subproblem, spec)
+        for spec in subproblem.candidates
     ]
-    present = _choose(scene, stay + offers) or ()
-    value = estimate_value(draft, knowledge, scene, present)
-    if not drops:
-        return _describe(draft, scene, present, value)
+    present = _choose(subproblem, in_place + candidates) or ()
+    value = estimate_value(draft, context, subproblem, present)
+    if not may_dissolve:
+        return _make_arrangement(draft, subproblem, present, value)
     best, best_value = present, value
-    for loose in _list_loose(draft, knowledge, scene, stay):
-        choice = _choose(scene, loose + offers)
+    for movable in _list_variants(draft, context, subproblem, in_place):
+        choice = _choose(subproblem, movable + candidates)
         if choice is None:
             continue
-        choice_value = estimate_value(draft, knowledge, scene, choice)
+        choice_value = estimate_value(draft, context, subproblem, choice)
         if choice_value > best_value:
             best, best_value = choice, choice_value
-    if best is not present and is_hasty(draft, knowledge, scene, best, present):
+    if best is not present and is_premature(
+        draft, context, subproblem, best, present
+    ):
         return None
-    return _describe(draft, scene, best, best_value - value)
+    return _make_arrangement(draft, subproblem, best, best_value - value)
 
 
-def _list_loose(
-    draft: Draft, knowledge: Knowledge, scene: Scene, stay: Ways
-) -> Iterator[Ways]:
-    """Yields the ways of the groups, for each choice of those that must stay.
+def _list_variants(
+    draft: Draft,
+    context: PlanContext,
+    subproblem: Subproblem,
+    in_place: Alternatives,
+) -> Iterator[Alternatives]:
+    """Yields alternatives of the groups for each choice of groups to keep.
 
-    Of the last serving groups of a model one must stay where it is; each of
-    them is tried.
+    One of the last serving groups of a model must stay where it is. Each of
+    them is tried, up to a limited number of combinations.
     """
-    ways = [
-        list_ways(draft, knowledge, scene, standing)
-        for standing in scene.groups
+    alternatives = [
+        list_alternatives(draft, context, subproblem, placed_group)
+        for placed_group in subproblem.groups
     ]
-    sets = list_last_serving(draft, scene)
-    for kept in itertools.islice(itertools.product(*sets), _MOST_KEPT):
+    sets = list_last_serving(draft, subproblem)
+    for kept in itertools.islice(itertools.product(*sets), _MAX_KEPT_SETS):
         yield [
-            fixed if standing.group.name in kept else loose
-            for standing, fixed, loose in zip(
-                scene.groups, stay, ways, strict=True
+            fixed if placed_group.group.name in kept else movable
+            for placed_group, fixed, movable in zip(
+                subproblem.groups, in_place, alternatives, strict=True
             )
         ]
 
 
-def _choose(scene: Scene, ways: Ways) -> Choice | None:
-    """Returns the best ways together, None when nothing fits."""
-    items = tuple(tuple(way.option for way in each) for each in ways)
-    packing = pack(items, scene.hosts)
+def _choose(
+    subproblem: Subproblem, alternatives: Alternatives
+) -> Choice | None:
+    """Returns the best combination of alternatives, None if none fits."""
+    items = tuple(
+        tuple(alternative.option for alternative in each)
+        for each in alternatives
+    )
+    packing = pack(items, subproblem.hosts)
     if packing is None:
         return None
     return tuple(
-        each[index] for each, index in zip(ways, packing.chosen, strict=True)
+        each[index]
+        for each, index in zip(alternatives, packing.chosen, strict=True)
     )
 
 
-def _describe(
-    draft: Draft, scene: Scene, choice: Choice, gain: float
+def _make_arrangement(
+    draft: Draft, subproblem: Subproblem, choice: Choice, gain: float
 ) -> Arrangement | None:
-    """Returns a choice as an arrangement, None when it makes none whole."""
-    found = Arrangement(domains=scene.domains, gain=gain)
-    for (group, _), way in zip(scene.groups, choice, strict=False):
-        if way.treatment == Treatment.DROP:
+    """Returns a choice as an arrangement, None if it completes no group."""
+    found = Arrangement(domains=subproblem.domains, gain=gain)
+    for (group, _), alternative in zip(subproblem.groups, choice, strict=False):
+        if alternative.treatment == Treatment.DROP:
             found.dropped.append(group)
-        elif way.treatment == Treatment.REPAIR:
+        elif alternative.treatment == Treatment.REPAIR:
             found.repaired.append(group)
-        elif way.treatment == Treatment.MOVE:
-            found.moved.append(Moved(group, scene.domains[way.place]))
-    for way in choice[len(scene.groups) :]:
-        if way.treatment == Treatment.FORM:
-            found.formed.append(Formed(way.spec, scene.domains[way.place]))
-    mended = any(not draft.is_whole(group) for group, _ in found.moved)
-    if not found.repaired and not found.formed and not mended:
+        elif alternative.treatment == Treatment.MOVE:
+            found.moved.append(
+                PlannedMove(group, subproblem.domains[alternative.domain_index])
+            )
+    for alternative in choice[len(subproblem.groups) :]:
+        if alternative.treatment == Treatment.FORM:
+            found.formed.append(
+                PlannedFormation(
+                    alternative.spec,
+                    subproblem.domains[alternative.domain_index],
+                )
+            )
+    repairs_by_move = any(not draft.is_whole(group) for group, _ in found.moved)
+    if not found.repaired and not found.formed and not repairs_by_move:
         return None
     return found
--- a/chervilrock/decisions/planner/releases.py
+++ b/chervilrock/decisions/planner/releases.py
@@ -1,28 +1,28 @@
-"""Hosts that a group gave up and that are not free yet.
+"""Hosts that a group has released and that are not free yet.
 
-The view may say so of a host. Where it does not, a host that was in a group
-just before counts as one that will be free, for as long as a release takes;
-after that it may be in quarantine.
+The view may mark such hosts itself. Otherwise a host that has just left a
+group is expected to become free for as long as a release takes. After that
+time it may be in quarantine.
 """
 
 from chervilrock.decisions.actions import HostView, PlanInput
 
-_LONGEST_RELEASE_S = 30.0
+_MAX_RELEASE_S = 30.0
 
 
 class ReleaseHistory:
-    """When hosts left their groups."""
+    """Times at which hosts left their groups."""
 
     def __init__(self) -> None:
         self._owned: set[str] = set()
         self._left_at: dict[str, float] = {}
 
-    def mark(self, view: PlanInput, now: float) -> PlanInput:
-        """Returns the view with the hosts marked that will soon be free.
+    def mark_releasing(self, view: PlanInput, now: float) -> PlanInput:
+        """Returns the view with the hosts marked that are being released.
 
         Args:
           view: the next view of the region.
-          now: present time in seconds.
+          now: current time in seconds.
         """
         owned = {name for group in view.groups for name in group.hosts}
         for name in self._owned - owned:
@@ -42,4 +42,4 @@
         left_at = self._left_at.get(host.host)
         if left_at is None or host.free:
             return False
-        return now < left_at + _LONGEST_RELEASE_S
+        return now < left_at + _MAX_RELEASE_S
--- a/chervilrock/decisions/planner/removal.py
+++ b/chervilrock/decisions/planner/removal.py
@@ -1,4 +1,4 @@
-"""Groups to dissolve: not wanted, too many, or of an old version."""
+"""Dissolution of groups that are unwanted, surplus or outdated."""
 
 from chervilrock.decisions.actions import GroupView
 from chervilrock.decisions.planner.draft import Draft
@@ -8,7 +8,7 @@
 
 
 def dissolve_unwanted(draft: Draft) -> None:
-    """Dissolves the groups of models that are not wanted any more."""
+    """Dissolves the groups of models that are no longer wanted."""
     inventory = draft.inventory
     for name in sorted(inventory.groups):
         group = inventory.groups[name]
@@ -19,16 +19,16 @@
 
 
 def dissolve_surplus(draft: Draft, spec: ModelSpec) -> None:
-    """Dissolves the groups that a model does not need any more.
+    """Dissolves the groups that a model no longer needs.
 
-    Groups of an old version that do not serve go at once. Others go only
-    while as many groups serve as are wanted.
+    Groups of an old version that do not serve are dissolved immediately.
+    Others are dissolved only while enough groups serve without them.
     """
     inventory = draft.inventory
     wanted = spec["groups"]
     groups = draft.list_groups(spec)
     serving = sum(1 for group in groups if inventory.is_serving(group))
-    served = sum(
+    serving_current = sum(
         1
         for group in groups
         if inventory.is_serving(group) and is_current(spec, group)
@@ -39,17 +39,17 @@
                 continue
             serving -= 1
             draft.dissolve(group, "more groups than wanted")
-        elif served >= wanted:
+        elif serving_current >= wanted:
             draft.dissolve(group, "more groups than wanted")
         elif not is_current(spec, group):
             draft.dissolve(group, "old version")
 
 
 def replace_outdated(draft: Draft, spec: ModelSpec) -> None:
-    """Dissolves one group of an old version when its successor has no room.
+    """Dissolves one group of an old version to free hosts for its successor.
 
-    It waits while any group of the model loads, drains or is being formed,
-    and never ends the last group that serves.
+    Nothing is dissolved while any group of the model loads, drains or is being
+    formed. The last serving group is never dissolved.
     """
     inventory = draft.inventory
     groups = draft.list_groups(spec)
@@ -59,23 +59,23 @@
     if _is_changing(draft, spec, groups):
         return
     outdated.sort(key=lambda each: _rank(draft, spec, each))
-    victim = outdated[0]
+    replaced = outdated[0]
     serving = sum(1 for group in groups if inventory.is_serving(group))
-    if inventory.is_serving(victim) and serving <= 1:
+    if inventory.is_serving(replaced) and serving <= 1:
         return
-    draft.dissolve(victim, "old version")
+    draft.dissolve(replaced, "old version")
 
 
 def _is_changing(
     draft: Draft, spec: ModelSpec, groups: list[GroupView]
 ) -> bool:
-    """Tells whether a group of the model loads, drains or is repaired."""
+    """Returns whether a group of the model loads, drains or is repaired."""
     inventory = draft.inventory
     names = inventory.groups_of_model.get(spec["name"], ())
-    every = [inventory.groups[name] for name in names]
-    if any(group.phase == GroupPhase.DRAINING for group in every):
+    model_groups = [inventory.groups[name] for name in names]
+    if any(group.phase == GroupPhase.DRAINING for group in model_groups):
         return True
-    if any(group.name in draft.touched for group in every):
+    if any(group.name in draft.changed_groups for group in model_groups):
         return True
     return any(
         group.phase == GroupPhase.LOADING
@@ -88,10 +88,10 @@
 def _rank(
     draft: Draft, spec: ModelSpec, group: GroupView
 ) -> tuple[bool, bool, bool, int, int]:
-    """Orders the groups of a model, the least useful first.
+    """Returns a sort key for groups of a model, the least useful first.
 
-    Of equal ones, the newest of the wanted version goes first and the oldest
-    of an old version, as in the controller.
+    Among equal groups, the newest of the wanted version and the oldest of an
+    old version come first, as in the controller.
     """
     inventory = draft.inventory
     current = is_current(spec, group)
--- a/chervilrock/decisions/planner/repair.py
+++ b/chervilrock/decisions/planner/repair.py
@@ -1,4 +1,4 @@
-"""Repair of groups that lost hosts."""
+"""Repair of groups that have lost hosts."""
 
 from chervilrock.decisions.actions import GroupView, HostView
 from chervilrock.decisions.planner.draft import Draft
@@ -6,8 +6,8 @@
 from chervilrock.decisions.planner.specs import (
     Domain,
     is_ending,
-    may_cross,
-    may_stand_in,
+    may_span_domains,
+    may_use_domain,
 )
 from chervilrock.generated.configuration import ModelSpec
 
@@ -15,13 +15,13 @@
 def list_broken(draft: Draft, spec: ModelSpec) -> list[GroupView]:
     """Returns the groups of a model worth a repair, the easiest first.
 
-    A group that drains since a host of it is leaving can still be repaired.
+    A group that drains because one of its hosts is leaving can be repaired.
     """
     inventory = draft.inventory
     broken = [
         inventory.groups[name]
         for name in inventory.broken.get(spec["name"], ())
-        if name not in draft.touched
+        if name not in draft.changed_groups
     ]
     broken.sort(
         key=lambda each: (
@@ -42,8 +42,8 @@
     losses = draft.inventory.get_losses(group)
     domain = draft.inventory.find_domain(group)
     if domain is None:
-        return may_cross(spec) and _repair_across(draft, spec, group)
-    if not may_stand_in(spec, domain):
+        return may_span_domains(spec) and _repair_across(draft, spec, group)
+    if not may_use_domain(spec, domain):
         return False
     if draft.count_free(domain) < len(losses):
         return False
@@ -52,7 +52,7 @@
 
 
 def _repair_across(draft: Draft, spec: ModelSpec, group: GroupView) -> bool:
-    """Repairs a group that spans domains with hosts of any domain."""
+    """Repairs a group across domains with hosts of any domain."""
     losses = draft.inventory.get_losses(group)
     if len(losses) == len(group.hosts):
         return False
@@ -66,11 +66,11 @@
 
 
 def _list_domains(draft: Draft, spec: ModelSpec) -> list[Domain]:
-    """Returns the domains with free hosts for a model, the fullest last."""
+    """Returns the domains usable by a model, those with most hosts first."""
     domains = [
         domain
         for domain in draft.inventory.free
-        if may_stand_in(spec, domain) and domain not in draft.locked
+        if may_use_domain(spec, domain) and domain not in draft.reserved_domains
     ]
     domains.sort(key=lambda each: (-draft.count_free(each), each))
     return domains
--- a/chervilrock/decisions/planner/scene.py
+++ b/chervilrock/decisions/planner/scene.py
@@ -1,84 +1,91 @@
-"""The part of a region that is arranged at once."""
+"""The part of a region that is arranged in one optimization step."""
 
 from typing import NamedTuple
 
 from chervilrock.decisions.actions import GroupView
 from chervilrock.decisions.planner.draft import Draft
-from chervilrock.decisions.planner.formation import list_offers
-from chervilrock.decisions.planner.knowledge import Knowledge
+from chervilrock.decisions.planner.formation import list_candidates
+from chervilrock.decisions.planner.knowledge import PlanContext
 from chervilrock.decisions.planner.specs import (
     Domain,
     is_current,
     is_ending,
-    may_stand_in,
+    may_use_domain,
 )
 from chervilrock.generated.configuration import ModelSpec
 
 
-class Standing(NamedTuple):
-    """A group and the index of the domain where it stands."""
+class PlacedGroup(NamedTuple):
+    """A group and the index of its domain."""
 
     group: GroupView
-    place: int
+    domain_index: int
 
 
-class Scene(NamedTuple):
-    """One or two fabric domains, with what stands and could stand there.
+class Subproblem(NamedTuple):
+    """One or two fabric domains with their groups and candidates.
 
     Attributes:
       domains: the domains
-      hosts: hosts of each domain that can be used
-      groups: groups whose hosts can be used otherwise
-      offers: models of groups that could be formed, one entry a group
-      horizon: how long the choice will matter, in seconds
+      hosts: number of usable hosts of each domain
+      groups: groups whose hosts can be reassigned
+      candidates: models of groups that could be formed, one entry per group
+      horizon_s: time for which the choice matters, in seconds
     """
 
     domains: tuple[Domain, ...]
     hosts: tuple[int, ...]
-    groups: tuple[Standing, ...]
-    offers: tuple[ModelSpec, ...]
-    horizon: float
-
-    def take(self, place: int, hosts: int) -> tuple[int, ...]:
-        """Returns the hosts taken in each domain."""
+    groups: tuple[PlacedGroup, ...]
+    candidates: tuple[ModelSpec, ...]
+    horizon_s: float
+
+    def make_host_counts(
+        self, domain_index: int, hosts: int
+    ) -> tuple[int, ...]:
+        """Returns the number of hosts per domain for a use of one domain."""
         return tuple(
-            hosts if index == place else 0 for index in range(len(self.domains))
+            hosts if index == domain_index else 0
+            for index in range(len(self.domains))
         )
 
 
-def make_scene(
+def make_subproblem(
     draft: Draft,
-    knowledge: Knowledge,
+    context: PlanContext,
     domains: tuple[Domain, ...],
     missing: list[ModelSpec],
-) -> Scene:
-    """Returns the scene of one or two domains.
+) -> Subproblem:
+    """Creates the subproblem of one or two domains.
 
     Args:
       draft: the plan so far.
-      knowledge: estimates.
+      context: estimates.
       domains: the domains.
-      missing: models that lack a group, each as often as it lacks one.
+      missing: models that lack a group, one entry per missing group.
     """
     groups = _list_groups(draft, domains)
     hosts = _count_hosts(draft, domains, groups)
-    return Scene(
+    return Subproblem(
         domains=domains,
         hosts=hosts,
         groups=tuple(groups),
-        offers=tuple(_list_offers(draft, domains, groups, hosts, missing)),
-        horizon=_find_horizon(draft, knowledge, groups, missing),
+        candidates=tuple(
+            _list_candidates(draft, domains, groups, hosts, missing)
+        ),
+        horizon_s=_find_horizon(draft, context, groups, missing),
     )
 
 
-def list_last_serving(draft: Draft, scene: Scene) -> list[tuple[str, ...]]:
-    """Returns sets of groups of which one each must stay where it is.
+def list_last_serving(
+    draft: Draft, subproblem: Subproblem
+) -> list[tuple[str, ...]]:
+    """Returns sets of groups, of each of which one must stay in its domain.
 
-    They are the serving groups of models that serve nowhere else.
+    A set holds the serving groups of a model that serves nowhere else.
     """
     inventory = draft.inventory
     serving: dict[str, list[str]] = {}
-    for group, _ in scene.groups:
+    for group, _ in subproblem.groups:
         if inventory.is_serving(group):
             serving.setdefault(group.model, []).append(group.name)
     return [
@@ -88,79 +95,81 @@
     ]
 
 
-def _list_groups(draft: Draft, domains: tuple[Domain, ...]) -> list[Standing]:
+def _list_groups(
+    draft: Draft, domains: tuple[Domain, ...]
+) -> list[PlacedGroup]:
     inventory = draft.inventory
-    groups: list[Standing] = []
-    for place, domain in enumerate(domains):
+    groups: list[PlacedGroup] = []
+    for domain_index, domain in enumerate(domains):
         for name in sorted(inventory.groups_in_domain.get(domain, ())):
             group = inventory.groups[name]
             spec = inventory.models.get(group.model)
-            if spec is None or name in draft.touched or is_ending(group):
+            if spec is None or name in draft.changed_groups or is_ending(group):
                 continue
-            if not is_current(spec, group) or not may_stand_in(spec, domain):
+            if not is_current(spec, group) or not may_use_domain(spec, domain):
                 continue
             if inventory.find_domain(group) == domain:
-                groups.append(Standing(group, place))
+                groups.append(PlacedGroup(group, domain_index))
     return groups
 
 
 def _count_hosts(
-    draft: Draft, domains: tuple[Domain, ...], groups: list[Standing]
+    draft: Draft, domains: tuple[Domain, ...], groups: list[PlacedGroup]
 ) -> tuple[int, ...]:
     hosts = [
-        draft.count_free(domain) + draft.count_coming(domain)
+        draft.count_free(domain) + draft.count_soon_free(domain)
         for domain in domains
     ]
-    for group, place in groups:
+    for group, domain_index in groups:
         losses = draft.inventory.get_losses(group)
-        hosts[place] += len(group.hosts) - len(losses)
+        hosts[domain_index] += len(group.hosts) - len(losses)
     return tuple(hosts)
 
 
-def _list_offers(
+def _list_candidates(
     draft: Draft,
     domains: tuple[Domain, ...],
-    groups: list[Standing],
+    groups: list[PlacedGroup],
     hosts: tuple[int, ...],
     missing: list[ModelSpec],
 ) -> list[ModelSpec]:
-    """Returns the missing groups that could stand in one of the domains.
+    """Returns the missing groups that could be formed in the domains.
 
-    Broken groups of the scene are missing as well, but are no offers.
+    Broken groups of the domains are missing as well, but are no candidates.
     """
     counts: dict[str, int] = {}
     for domain, limit in zip(domains, hosts, strict=True):
-        for spec in list_offers(missing, domain, limit):
+        for spec in list_candidates(missing, domain, limit):
             counts[spec["name"]] = counts.get(spec["name"], 0) + 1
     skips: dict[str, int] = {}
     for group, _ in groups:
         if not draft.is_whole(group) and group.name not in draft.waiting:
             skips[group.model] = skips.get(group.model, 0) + 1
-    offers: list[ModelSpec] = []
+    candidates: list[ModelSpec] = []
     for spec in missing:
         name = spec["name"]
         if skips.get(name, 0) > 0:
             skips[name] -= 1
         elif counts.get(name, 0) > 0:
             counts[name] -= 1
-            offers.append(spec)
-    return offers
+            candidates.append(spec)
+    return candidates
 
 
 def _find_horizon(
     draft: Draft,
-    knowledge: Knowledge,
-    groups: list[Standing],
+    context: PlanContext,
+    groups: list[PlacedGroup],
     missing: list[ModelSpec],
 ) -> float:
-    rests = [
-        knowledge.estimate_rest(group)
+    remaining_times_s = [
+        context.estimate_remaining_s(group)
         for group, _ in groups
         if not draft.is_whole(group) and group.name not in draft.waiting
     ]
-    if rests:
-        return min(rests)
+    if remaining_times_s:
+        return min(remaining_times_s)
     return max(
-        (knowledge.estimate_horizon(draft, spec) for spec in missing),
+        (context.estimate_horizon(draft, spec) for spec in missing),
         default=0.0,
     )
--- a/chervilrock/decisions/planner/specs.py
+++ b/chervilrock/decisions/planner/specs.py
@@ -1,4 +1,4 @@
-"""Questions about the wanted models and their groups."""
+"""Properties of the wanted models and their groups."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 def is_current(spec: ModelSpec, group: GroupView) -> bool:
-    """Tells whether a group is what its model asks for today."""
+    """Returns whether a group matches the current spec of its model."""
     return (
         group.version == spec["version"]
         and group.adapters == tuple(spec.get("adapters", ()))
@@ -27,21 +27,21 @@
 
 
 def is_ending(group: GroupView) -> bool:
-    """Tells whether a group drains or is dissolved."""
+    """Returns whether a group drains or is dissolved."""
     return group.phase in _ENDING
 
 
-def may_stand_in(spec: ModelSpec, domain: Domain) -> bool:
-    """Tells whether groups of a model may use hosts of a fabric domain."""
+def may_use_domain(spec: ModelSpec, domain: Domain) -> bool:
+    """Returns whether groups of a model may use hosts of a fabric domain."""
     data_centres = spec.get("data_centres", ())
     return not data_centres or domain.data_centre in data_centres
 
 
-def may_cross(spec: ModelSpec) -> bool:
-    """Tells whether a group of a model may span fabric domains."""
+def may_span_domains(spec: ModelSpec) -> bool:
+    """Returns whether a group of a model may span fabric domains."""
     return spec.get("cross_domain", "forbid") == _ALLOW
 
 
 def get_weight(spec: ModelSpec) -> float:
-    """Returns the worth of a group of a model against other models."""
+    """Returns the relative worth of a group of a model."""
     return spec.get("weight", 1.0)
--- a/test/decisions/planner/planner_views.py
+++ b/test/decisions/planner/planner_views.py
@@ -1,4 +1,4 @@
-"""Views for the tests of the planner."""
+"""Builders of views for the tests of the planner."""
 
 from chervilrock.decisions.actions import (
     GroupView,
@@ -67,11 +67,13 @@
 
 def make_input(models, hosts, groups=(), costs=None):
     owned = {name for group in groups for name in group.hosts}
-    seen = tuple(
+    host_views = tuple(
         host._replace(free=host.free and host.host not in owned)
         for host in hosts
     )
-    return PlanInput(tuple(models), costs or Prices(), seen, tuple(groups))
+    return PlanInput(
+        tuple(models), costs or Prices(), host_views, tuple(groups)
+    )
 
 
 def make_plan(view, now=0.0):
--- a/test/decisions/planner/test_absence.py
+++ b/test/decisions/planner/test_absence.py
@@ -7,12 +7,12 @@
 
 @pytest.fixture
 def history():
-    """Half of the hosts are back within 10 s, the others after an hour."""
-    known = AbsenceHistory()
+    """Half of the absences last 10 s, the others an hour."""
+    absences = AbsenceHistory()
     for _ in range(128):
-        known.add(10.0)
-        known.add(3600.0)
-    return known
+        absences.add(10.0)
+        absences.add(3600.0)
+    return absences
 
 
 def test_waits_for_a_short_pause_only(history):
@@ -25,10 +25,10 @@
     assert_that(history.is_wait_better(3000.0, 300.0), Equals(False))
 
 
-def test_expects_the_mean_of_what_is_left(history):
-    assert_that(history.estimate_rest(0.0), Equals(1805.0))
-    assert_that(history.estimate_rest(600.0), Equals(3000.0))
+def test_expects_the_mean_of_longer_absences(history):
+    assert_that(history.estimate_remaining_s(0.0), Equals(1805.0))
+    assert_that(history.estimate_remaining_s(600.0), Equals(3000.0))
 
 
 def test_expects_an_absence_beyond_all_others_to_double(history):
-    assert_that(history.estimate_rest(7200.0), Equals(7200.0))
+    assert_that(history.estimate_remaining_s(7200.0), Equals(7200.0))
--- a/test/decisions/planner/test_plan.py
+++ b/test/decisions/planner/test_plan.py
@@ -58,7 +58,7 @@
     assert_that(actions, Equals((expected,)))
 
 
-def test_brings_up_a_new_version_before_the_old_goes():
+def test_forms_a_new_version_before_the_old_is_dissolved():
     hosts = [make_host(f"h{n}") for n in range(4)]
     old = make_group("g", ["h0", "h1"])
     spec = make_spec(version="v2")
@@ -71,7 +71,7 @@
     assert_that(action.group, Equals("g"))
 
 
-def test_replaces_old_groups_one_at_a_time_without_room():
+def test_replaces_old_groups_one_at_a_time_without_free_hosts():
     hosts = [make_host(f"h{n}") for n in range(4)]
     groups = [make_group("g1", ["h0", "h1"]), make_group("g2", ["h2", "h3"])]
     spec = make_spec(groups=2, version="v2")
--- a/test/decisions/planner/test_plan_safety.py
+++ b/test/decisions/planner/test_plan_safety.py
@@ -1,4 +1,4 @@
-"""Whatever the planners are shown, their plans keep the rules of groups."""
+"""Plans for any view satisfy the invariants of replica groups."""
 
 from typing import Any
 
@@ -34,7 +34,7 @@
 
 @st.composite
 def draw_views(draw):
-    """Draws views that no sane controller would rule out."""
+    """Draws arbitrary views of a region, including unusual ones."""
     specs = [
         make_spec(
             name,
@@ -67,7 +67,7 @@
 
 
 def _draw_groups(draw, hosts):
-    """Draws groups of separate hosts, some of which are missing."""
+    """Draws disjoint groups, some of whose hosts are missing."""
     groups: list[Any] = []
     rest = list(hosts)
     while rest and draw(st.booleans()):
@@ -93,7 +93,7 @@
 
 
 def find_faults(view, actions):
-    """Returns what is wrong with a plan, by plain rules."""
+    """Returns the violations of the invariants in a plan."""
     faults: list[Any] = []
     hosts = {host.host: host for host in view.hosts}
     groups = {group.name: group for group in view.groups}
@@ -182,7 +182,7 @@
 
 
 def _change_host(planner, view, name, now):
-    """Loses a host that is there, or gains one that is not."""
+    """Toggles the presence of a host and reports it to the planner."""
     (host,) = (each for each in view.hosts if each.host == name)
     changed = host._replace(present=not host.present)
     groups = tuple(_change_group(group, changed, now) for group in view.groups)
@@ -217,7 +217,7 @@
 
 
 def _carry_out(view, actions, step):
-    """Carries a plan out; loads and drains take one step."""
+    """Applies a plan to a view; loads and drains take one step."""
     dissolved = {a.group for a in actions if isinstance(a, DissolveGroup)}
     repaired = {a.group: a for a in actions if isinstance(a, RepairGroup)}
     groups = []
--- a/test/decisions/planner/test_rearrangement.py
+++ b/test/decisions/planner/test_rearrangement.py
@@ -1,4 +1,4 @@
-"""One domain has too few hosts for all its groups."""
+"""Rearrangement in a domain with too few hosts for all its groups."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -15,12 +15,12 @@
     make_spec,
 )
 
-_LONG_S = 1e5
+_LONG_ABSENCE_S = 1e5
 
 
 @pytest.fixture
-def crowd():
-    """A great group has lost a host, and either lesser one could help out."""
+def crowded_view():
+    """A valuable group lacks a host that two less valuable ones could give."""
     hosts = [make_host(f"h{number}") for number in range(6)]
     hosts[0] = hosts[0]._replace(present=False)
     groups = [
@@ -41,60 +41,65 @@
     ]
 
 
-def test_dissolves_a_lesser_group_for_a_greater(crowd):
-    names = _list_names(make_plan(crowd, _LONG_S))
+def test_dissolves_a_lesser_group_for_a_greater(crowded_view):
+    names = _list_names(make_plan(crowded_view, _LONG_ABSENCE_S))
     assert_that(names, Equals([("DissolveGroup", "other")]))
 
 
-def test_waits_for_hosts_that_are_to_be_free(crowd):
+def test_waits_for_hosts_that_are_to_be_free(crowded_view):
     groups = [
         group._replace(phase=GroupPhase.DRAINING)
         if group.name == "lesser"
         else group
-        for group in crowd.groups
+        for group in crowded_view.groups
     ]
-    view = crowd._replace(groups=tuple(groups))
-    assert_that(make_plan(view, _LONG_S), Equals(()))
+    view = crowded_view._replace(groups=tuple(groups))
+    assert_that(make_plan(view, _LONG_ABSENCE_S), Equals(()))
 
 
-def test_waits_for_hosts_that_are_being_released(crowd):
-    groups = tuple(g for g in crowd.groups if g.name != "lesser")
+def test_waits_for_hosts_that_are_being_released(crowded_view):
+    groups = tuple(g for g in crowded_view.groups if g.name != "lesser")
     hosts = tuple(
         host._replace(releasing=host.host in ("h2", "h3"))
-        for host in crowd.hosts
+        for host in crowded_view.hosts
     )
-    view = crowd._replace(groups=groups, hosts=hosts)
-    assert_that(make_plan(view, _LONG_S), Equals(()))
+    view = crowded_view._replace(groups=groups, hosts=hosts)
+    assert_that(make_plan(view, _LONG_ABSENCE_S), Equals(()))
 
 
-def test_repairs_with_the_freed_hosts(crowd):
-    groups = tuple(g for g in crowd.groups if g.name != "lesser")
+def test_repairs_with_the_freed_hosts(crowded_view):
+    groups = tuple(g for g in crowded_view.groups if g.name != "lesser")
     hosts = tuple(
-        host._replace(free=host.host in ("h2", "h3")) for host in crowd.hosts
+        host._replace(free=host.host in ("h2", "h3"))
+        for host in crowded_view.hosts
     )
-    view = crowd._replace(groups=groups, hosts=hosts)
-    names = _list_names(make_plan(view, _LONG_S))
+    view = crowded_view._replace(groups=groups, hosts=hosts)
+    names = _list_names(make_plan(view, _LONG_ABSENCE_S))
     assert_that(names, Equals([("RepairGroup", "great")]))
 
 
-def test_leaves_other_groups_alone_while_a_return_is_likely(crowd):
-    assert_that(make_plan(crowd, 1.0), Equals(()))
+def test_keeps_other_groups_while_a_return_is_likely(crowded_view):
+    assert_that(make_plan(crowded_view, 1.0), Equals(()))
 
 
-def test_never_across_groups_waits(crowd):
-    actions = NeverAcrossGroups().plan(crowd, _LONG_S)
+def test_never_across_groups_waits(crowded_view):
+    actions = NeverAcrossGroups().plan(crowded_view, _LONG_ABSENCE_S)
     assert_that(len(actions), Equals(0))
 
 
-def test_index_answers_a_loss_like_a_full_plan(crowd):
-    whole = crowd.groups[0]._replace(missing=(), missing_since=None)
-    hosts = tuple(host._replace(present=True) for host in crowd.hosts)
-    before = crowd._replace(hosts=hosts, groups=(whole, *crowd.groups[1:]))
+def test_single_loss_yields_the_actions_of_a_full_plan(crowded_view):
+    whole = crowded_view.groups[0]._replace(missing=(), missing_since=None)
+    hosts = tuple(host._replace(present=True) for host in crowded_view.hosts)
+    before = crowded_view._replace(
+        hosts=hosts, groups=(whole, *crowded_view.groups[1:])
+    )
     planner = Planner()
     planner.plan(before, 0.0)
     planner.put_group(whole._replace(missing_since=0.0))
-    names = _list_names(planner.lose_host("h0", _LONG_S))
-    assert_that(names, Equals(_list_names(make_plan(crowd, _LONG_S))))
+    names = _list_names(planner.lose_host("h0", _LONG_ABSENCE_S))
+    assert_that(
+        names, Equals(_list_names(make_plan(crowded_view, _LONG_ABSENCE_S)))
+    )
 
 
 def test_repairs_a_group_that_drains_for_a_leaving_host():
@@ -116,8 +121,11 @@
         make_spec("large", size=4),
     ]
     assert_that(
-        make_plan(make_input(models, hosts, groups), _LONG_S), Equals(())
+        make_plan(make_input(models, hosts, groups), _LONG_ABSENCE_S),
+        Equals(()),
     )
     hosts.append(make_host("b3", "b"))
-    names = _list_names(make_plan(make_input(models, hosts, groups), _LONG_S))
+    names = _list_names(
+        make_plan(make_input(models, hosts, groups), _LONG_ABSENCE_S)
+    )
     assert_that(names, Equals([("DissolveGroup", "twin"), ("FormGroup", "")]))
--- a/test/decisions/planner/test_releases.py
+++ b/test/decisions/planner/test_releases.py
@@ -11,11 +11,11 @@
 
 def _mark(history, groups, now):
     hosts = [make_host("h0", free=False), make_host("h1", free=False)]
-    view = history.mark(make_input([], hosts, groups), now)
+    view = history.mark_releasing(make_input([], hosts, groups), now)
     return [host.host for host in view.hosts if host.releasing]
 
 
-def test_hosts_that_left_a_group_are_to_be_free_for_a_while():
+def test_hosts_that_left_a_group_are_releasing_for_a_limited_time():
     history = ReleaseHistory()
     group = make_group("g", ["h0"])
     assert_that(_mark(history, [group], 0.0), Equals([]))
--- a/test/decisions/planner/test_with_controller.py
+++ b/test/decisions/planner/test_with_controller.py
@@ -1,4 +1,4 @@
-"""The planner under the controller of a region: a model never ends."""
+"""Planner and controller together keep a serving group of each model."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
@@ -13,7 +13,7 @@
 
 
 class PlannedNode(Node):
-    """A node that plans as the product does."""
+    """A node that plans with the production planner."""
 
     def start(self):
         super().start()
@@ -48,16 +48,16 @@
 
 
 def _run(world):
-    """Runs for a while; returns the least number of serving groups."""
-    least = len(world.engines)
+    """Runs the steps and returns the minimum number of serving groups."""
+    min_serving = len(world.engines)
     for _ in range(_SETTLE_STEPS):
         world.step()
         phases = [phase for _, phase in _list_groups(world)]
-        least = min(least, phases.count(GroupPhase.SERVING))
-    return least
+        min_serving = min(min_serving, phases.count(GroupPhase.SERVING))
+    return min_serving
 
 
-def test_fewer_groups_leave_the_others_alone():
+def test_fewer_wanted_groups_leave_the_others_serving():
     world = _make_world(hosts=6)
     world.apply(make_configuration(groups=2, spares=0))
     _run(world)
@@ -66,7 +66,7 @@
     assert_that(_list_groups(world), Equals([("v1", GroupPhase.SERVING)]))
 
 
-def test_new_version_comes_one_group_at_a_time_without_room():
+def test_new_version_starts_one_group_at_a_time_without_free_hosts():
     world = _make_world(hosts=5)
     world.apply(make_configuration(groups=2, spares=0))
     _run(world)
@@ -75,7 +75,7 @@
     assert_that(_list_groups(world), Equals([("v2", GroupPhase.SERVING)] * 2))
 
 
-def test_new_version_comes_up_before_the_old_goes():
+def test_new_version_serves_before_the_old_is_dissolved():
     world = _make_world(hosts=4)
     world.apply(make_configuration(groups=1, spares=0))
     _run(world)
@@ -84,8 +84,8 @@
     assert_that(_list_groups(world), Equals([("v2", GroupPhase.SERVING)]))
 
 
-class ContraryNode(Node):
-    """A node whose planner wants another group gone than the controller."""
+class ConflictingNode(Node):
+    """A node whose planner dissolves another group than the controller."""
 
     def plan(self, wanted, hosts):
         serving = [
@@ -95,7 +95,7 @@
         ]
         if len(serving) < 2:
             return ()
-        oldest = min(serving, key=lambda one: one.fence)
+        oldest = min(serving, key=lambda each: each.fence)
         return (DissolveGroup(oldest.name, oldest.fence, "contrary"),)
 
 
@@ -104,7 +104,7 @@
     world.apply(make_configuration(groups=2, spares=0))
     _run(world)
     node = world.nodes[0]
-    node.plan = ContraryNode.plan.__get__(node)
+    node.plan = ConflictingNode.plan.__get__(node)
     world.apply(make_configuration(groups=1, spares=0))
-    least = _run(world)
-    assert_that(least, Equals(1))
+    min_serving = _run(world)
+    assert_that(min_serving, Equals(1))
