--- a/chervilrock/decisions/planner/absence.py
+++ b/chervilrock/decisions/planner/absence.py
@@ -18,7 +18,9 @@
     14_400.0,
     43_200.0,
 )
+"""Assumed lengths of absences before any is recorded."""
 _MIN_SAVING_FRACTION = 0.1
+"""Fraction of the cost of a replacement that a wait has to save."""
 
 
 class AbsenceHistory:
--- a/chervilrock/decisions/planner/draft.py
+++ b/chervilrock/decisions/planner/draft.py
@@ -51,12 +51,12 @@
         """Returns the number of hosts of a domain that will soon be free."""
         names = self.inventory.groups_in_domain.get(domain, ())
         groups = (self.inventory.groups[name] for name in names)
-        ending = sum(
+        ending_hosts = sum(
             self._count_healthy(group, domain)
             for group in groups
             if self.is_ending(group)
         )
-        return ending + len(self.inventory.releasing.get(domain, ()))
+        return ending_hosts + len(self.inventory.releasing.get(domain, ()))
 
     def is_ending(self, group: GroupView) -> bool:
         """Returns whether a group is dissolved and not repaired instead."""
@@ -98,7 +98,7 @@
         """Records that a broken group will get hosts without an action now."""
         if group.name not in self.waiting:
             self.waiting.add(group.name)
-            self._change(group, +1)
+            self._count_change(group, +1)
 
     def form(
         self, spec: ModelSpec, hosts: tuple[HostView, ...], domain: str
@@ -137,7 +137,7 @@
         """
         self._assign(tuple(substitutes.values()))
         self.changed_groups.add(group.name)
-        self._change(group, +1)
+        self._count_change(group, +1)
         hosts = tuple(
             substitutes[name].host if name in substitutes else name
             for name in group.hosts
@@ -147,12 +147,12 @@
     def dissolve(self, group: GroupView, reason: str) -> None:
         """Adds the dissolution of a group."""
         if group.name in self.inventory.whole.get(group.model, ()):
-            self._change(group, -1)
+            self._count_change(group, -1)
         self.changed_groups.add(group.name)
         self._dissolved.add(group.name)
         self.actions.append(DissolveGroup(group.name, group.fence, reason))
 
-    def _change(self, group: GroupView, count: int) -> None:
+    def _count_change(self, group: GroupView, count: int) -> None:
         """Records a change of the number of groups that the plan provides."""
         known = self._changes.get(group.model, 0)
         self._changes[group.model] = known + count
--- a/chervilrock/decisions/planner/evaluation.py
+++ b/chervilrock/decisions/planner/evaluation.py
@@ -10,7 +10,9 @@
 from chervilrock.decisions.planner.scene import Subproblem
 
 _SWITCHING_COST_FRACTION = 0.1
+"""Extra cost of dissolving a whole group, relative to forming it again."""
 _DISSOLVE_S = 40.0
+"""Delay of all loads when groups have to be dissolved first."""
 _DISSOLVING = (Treatment.DROP, Treatment.MOVE)
 _WHOLE = (Treatment.KEEP, Treatment.REPAIR, Treatment.FORM, Treatment.MOVE)
 
--- a/chervilrock/decisions/planner/formation.py
+++ b/chervilrock/decisions/planner/formation.py
@@ -21,7 +21,9 @@
 from chervilrock.generated.configuration import ModelSpec
 
 _MAX_SORTED_GROUPS = 64
+"""Most missing groups for which other orders and rules are evaluated."""
 _LOSS_COVERAGE = (0.0, 0.8, 0.95, 0.99, 1.0)
+"""Share of host losses that 0, 1, 2 and more spare hosts can replace."""
 
 
 class Placement(NamedTuple):
--- a/chervilrock/decisions/planner/loads.py
+++ b/chervilrock/decisions/planner/loads.py
@@ -12,7 +12,9 @@
 _MAX_SAMPLES = 32
 _MIN_SAMPLES = 3
 _SLOWDOWN_FACTOR = 1.3
+"""A load longer than this multiple of the shortest counts as slowed down."""
 _PARALLEL_MARGIN = 2.0
+"""Assumed capacity relative to the most shards seen without a slowdown."""
 _DEFAULT_SHARD_S = 180.0
 _DEFAULT_PARALLEL = 8
 _HOSTS_PER_PARALLEL_LOAD = 8
--- a/chervilrock/decisions/planner/options.py
+++ b/chervilrock/decisions/planner/options.py
@@ -20,6 +20,7 @@
 from chervilrock.generated.configuration import ModelSpec
 
 _FORM_DISCOUNT = 0.99
+"""Factor on the value of new groups, in favour of existing ones."""
 
 
 class Treatment(enum.Enum):
--- a/chervilrock/decisions/planner/order.py
+++ b/chervilrock/decisions/planner/order.py
@@ -25,20 +25,20 @@
 
     New groups beyond the bandwidth of the weight store are left to later plans.
     """
-    ends = [a for a in draft.actions if isinstance(a, DissolveGroup)]
+    dissolutions = [a for a in draft.actions if isinstance(a, DissolveGroup)]
     repairs = [a for a in draft.actions if isinstance(a, RepairGroup)]
     forms = [a for a in draft.actions if isinstance(a, FormGroup)]
     repairs.sort(key=lambda each: -_rate_repair(draft, each))
     forms.sort(key=lambda each: -_rate_form(draft, each))
-    loading = float(context.times.in_flight)
-    loading += sum(_count_new(draft, repair) for repair in repairs)
-    begun: list[FormGroup] = []
+    loading_shards = float(context.times.in_flight)
+    loading_shards += sum(_count_new(draft, repair) for repair in repairs)
+    started: list[FormGroup] = []
     for form in forms:
-        if loading >= context.times.parallel:
+        if loading_shards >= context.times.parallel:
             break
-        loading += len(form.hosts)
-        begun.append(form)
-    return (*ends, *repairs, *begun)
+        loading_shards += len(form.hosts)
+        started.append(form)
+    return (*dissolutions, *repairs, *started)
 
 
 def _rate_repair(draft: Draft, action: RepairGroup) -> float:
--- a/chervilrock/decisions/planner/planner.py
+++ b/chervilrock/decisions/planner/planner.py
@@ -23,7 +23,7 @@
 from chervilrock.decisions.planner.releases import ReleaseHistory
 from chervilrock.generated.configuration import ModelSpec
 
-_EMPTY = PlanInput((), Prices(), (), ())
+_EMPTY_VIEW = PlanInput((), Prices(), (), ())
 
 
 def plan(view: PlanInput, now: float) -> tuple[Action, ...]:
@@ -62,7 +62,7 @@
         self._releases = ReleaseHistory()
         self._history = AbsenceHistory()
         self._absent_since: dict[str, float] = {}
-        self._inventory = Inventory(view=_EMPTY)
+        self._inventory = Inventory(view=_EMPTY_VIEW)
 
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
         """Returns the actions for a complete view, the most urgent first."""
--- a/chervilrock/decisions/planner/policy.py
+++ b/chervilrock/decisions/planner/policy.py
@@ -30,6 +30,7 @@
 from chervilrock.generated.configuration import ModelSpec
 
 _MAX_PAIRED_DOMAINS = 12
+"""Domains that are paired; limits the number of pairs to evaluate."""
 
 
 def decide(draft: Draft, context: PlanContext, *, may_rearrange: bool) -> None:
@@ -176,10 +177,10 @@
     ]
     found.sort(key=lambda each: (-each.gain, each.domains))
     for arrangement in found:
-        _arrange_again(draft, context, arrangement.domains)
+        _arrange_remaining(draft, context, arrangement.domains)
 
 
-def _arrange_again(
+def _arrange_remaining(
     draft: Draft, context: PlanContext, domains: tuple[Domain, ...]
 ) -> None:
     """Rearranges domains with the hosts that earlier ones left over."""
--- a/chervilrock/decisions/planner/rearrangement.py
+++ b/chervilrock/decisions/planner/rearrangement.py
@@ -37,6 +37,7 @@
 from chervilrock.generated.configuration import ModelSpec
 
 _MAX_KEPT_SETS = 8
+"""Combinations of groups to keep that are tried for one subproblem."""
 
 Alternatives = list[tuple[Alternative, ...]]
 
--- a/chervilrock/decisions/planner/removal.py
+++ b/chervilrock/decisions/planner/removal.py
@@ -33,7 +33,9 @@
         for group in groups
         if inventory.is_serving(group) and is_current(spec, group)
     )
-    for group in sorted(groups, key=lambda each: _rank(draft, spec, each)):
+    for group in sorted(
+        groups, key=lambda each: _make_sort_key(draft, spec, each)
+    ):
         if inventory.is_serving(group):
             if serving <= wanted:
                 continue
@@ -58,7 +60,7 @@
         return
     if _is_changing(draft, spec, groups):
         return
-    outdated.sort(key=lambda each: _rank(draft, spec, each))
+    outdated.sort(key=lambda each: _make_sort_key(draft, spec, each))
     replaced = outdated[0]
     serving = sum(1 for group in groups if inventory.is_serving(group))
     if inventory.is_serving(replaced) and serving <= 1:
@@ -85,7 +87,7 @@
     )
 
 
-def _rank(
+def _make_sort_key(
     draft: Draft, spec: ModelSpec, group: GroupView
 ) -> tuple[bool, bool, bool, int, int]:
     """Returns a sort key for groups of a model, the least useful first.
--- a/test/decisions/planner/test_plan_safety.py
+++ b/test/decisions/planner/test_plan_safety.py
@@ -99,7 +99,7 @@
     groups = {group.name: group for group in view.groups}
     specs = {spec["name"]: spec for spec in view.models}
     owned = {name for group in view.groups for name in group.hosts}
-    taken: list[str] = []
+    assigned: list[str] = []
     for action in actions:
         if isinstance(action, DissolveGroup):
             continue
@@ -114,35 +114,39 @@
                 faults.append(("lost host kept", action))
         else:
             spec = specs[action.model]
-        taken.extend(new)
+        assigned.extend(new)
         for name in new:
             host = hosts[name]
             usable = host.present and host.free and not host.leaving
             if not usable or name in owned:
                 faults.append(("host not usable", name, action))
-        places = {(hosts[n].data_centre, hosts[n].domain) for n in action.hosts}
-        if len(places) > 1 and spec["cross_domain"] == "forbid":
+        used_domains = {
+            (hosts[n].data_centre, hosts[n].domain) for n in action.hosts
+        }
+        if len(used_domains) > 1 and spec["cross_domain"] == "forbid":
             faults.append(("domains mixed", action))
-        if len(places) == 1 and action.domain != places.pop()[1]:
+        if len(used_domains) == 1 and action.domain != used_domains.pop()[1]:
             faults.append(("wrong domain", action))
         wanted = spec["data_centres"]
-        new_places = {hosts[name].data_centre for name in new}
-        if wanted and not new_places <= set(wanted):
+        new_data_centres = {hosts[name].data_centre for name in new}
+        if wanted and not new_data_centres <= set(wanted):
             faults.append(("wrong data centre", action))
         if len(set(action.hosts)) != spec["hosts_per_group"]:
             faults.append(("wrong size", action))
-    if len(taken) != len(set(taken)):
-        faults.append(("host given twice", taken))
-    return faults + _find_ended_models(view, actions, hosts)
+    if len(assigned) != len(set(assigned)):
+        faults.append(("host given twice", assigned))
+    return faults + _find_dissolved_models(view, actions, hosts)
 
 
-def _find_ended_models(view, actions, hosts):
+def _find_dissolved_models(view, actions, hosts):
     """Returns the wanted models whose last serving groups are dissolved."""
     changed = [a.group for a in actions if not isinstance(a, FormGroup)]
     faults: list[Any] = []
     if len(changed) > len(set(changed)):
         faults.append(("group changed twice", changed))
-    ended = {a.group for a in actions if isinstance(a, DissolveGroup)}
+    dissolved_groups = {
+        a.group for a in actions if isinstance(a, DissolveGroup)
+    }
     for spec in view.models:
         serving = {
             group.name
@@ -152,7 +156,7 @@
             and not group.missing
             and not any(hosts[name].leaving for name in group.hosts)
         }
-        if spec["groups"] > 0 and serving and serving <= ended:
+        if spec["groups"] > 0 and serving and serving <= dissolved_groups:
             faults.append(("model ended", spec["name"], serving))
     return faults
 
