--- a/chervilrock/decisions/planner/baselines.py
+++ b/chervilrock/decisions/planner/baselines.py
@@ -61,15 +61,15 @@
         """Returns the actions for a complete view."""
         actions = super().plan(view, now)
         inventory = Inventory(view=view)
-        repaired = {a.group for a in actions if not isinstance(a, FormGroup)}
-        ended = [
+        handled = {a.group for a in actions if not isinstance(a, FormGroup)}
+        dissolutions = [
             DissolveGroup(group.name, group.fence, "no free host")
             for group in view.groups
-            if group.name not in repaired
+            if group.name not in handled
             and not is_ending(group)
             and inventory.get_losses(group)
         ]
-        return (*actions, *ended)
+        return (*actions, *dissolutions)
 
 
 class NeverAcrossGroups(GroupPlanner):
