--- a/test/decisions/planner/test_plan_safety.py
+++ b/test/decisions/planner/test_plan_safety.py
@@ -1,4 +1,4 @@
-"""Whatever the planners are shown, their plans keep the rules of groups."""
+"""Plans for any view satisfy the invariants of replica groups."""
 
 from typing import Any
 
@@ -34,7 +34,7 @@
 
 @st.composite
 def draw_views(draw):
-    """Draws views that no sane controller would rule out."""
+    """Draws arbitrary views of a region, including unusual ones."""
     specs = [
         make_spec(
             name,
@@ -67,7 +67,7 @@
 
 
 def _draw_groups(draw, hosts):
-    """Draws groups of separate hosts, some of which are missing."""
+    """Draws disjoint groups, some of whose hosts are missing."""
     groups: list[Any] = []
     rest = list(hosts)
     while rest and draw(st.booleans()):
@@ -93,13 +93,13 @@
 
 
 def find_faults(view, actions):
-    """Returns what is wrong with a plan, by plain rules."""
+    """Returns the violations of the invariants in a plan."""
     faults: list[Any] = []
     hosts = {host.host: host for host in view.hosts}
     groups = {group.name: group for group in view.groups}
     specs = {spec["name"]: spec for spec in view.models}
     owned = {name for group in view.groups for name in group.hosts}
-    taken: list[str] = []
+    assigned: list[str] = []
     for action in actions:
         if isinstance(action, DissolveGroup):
             continue
@@ -114,35 +114,39 @@
                 faults.append(("lost host kept", action))
         else:
             spec = specs[action.model]
-        taken.extend(new)
+        assigned.extend(new)
         for name in new:
             host = hosts[name]
             usable = host.present and host.free and not host.leaving
             if not usable or name in owned:
                 faults.append(("host not usable", name, action))
-        places = {(hosts[n].data_centre, hosts[n].domain) for n in action.hosts}
-        if len(places) > 1 and spec["cross_domain"] == "forbid":
+        used_domains = {
+            (hosts[n].data_centre, hosts[n].domain) for n in action.hosts
+        }
+        if len(used_domains) > 1 and spec["cross_domain"] == "forbid":
             faults.append(("domains mixed", action))
-        if len(places) == 1 and action.domain != places.pop()[1]:
+        if len(used_domains) == 1 and action.domain != used_domains.pop()[1]:
             faults.append(("wrong domain", action))
         wanted = spec["data_centres"]
-        new_places = {hosts[name].data_centre for name in new}
-        if wanted and not new_places <= set(wanted):
+        new_data_centres = {hosts[name].data_centre for name in new}
+        if wanted and not new_data_centres <= set(wanted):
             faults.append(("wrong data centre", action))
         if len(set(action.hosts)) != spec["hosts_per_group"]:
             faults.append(("wrong size", action))
-    if len(taken) != len(set(taken)):
-        faults.append(("host given twice", taken))
-    return faults + _find_ended_models(view, actions, hosts)
+    if len(assigned) != len(set(assigned)):
+        faults.append(("host given twice", assigned))
+    return faults + _find_dissolved_models(view, actions, hosts)
 
 
-def _find_ended_models(view, actions, hosts):
+def _find_dissolved_models(view, actions, hosts):
     """Returns the wanted models whose last serving groups are dissolved."""
     changed = [a.group for a in actions if not isinstance(a, FormGroup)]
     faults: list[Any] = []
     if len(changed) > len(set(changed)):
         faults.append(("group changed twice", changed))
-    ended = {a.group for a in actions if isinstance(a, DissolveGroup)}
+    dissolved_groups = {
+        a.group for a in actions if isinstance(a, DissolveGroup)
+    }
     for spec in view.models:
         serving = {
             group.name
@@ -152,7 +156,7 @@
             and not group.missing
             and not any(hosts[name].leaving for name in group.hosts)
         }
-        if spec["groups"] > 0 and serving and serving <= ended:
+        if spec["groups"] > 0 and serving and serving <= dissolved_groups:
             faults.append(("model ended", spec["name"], serving))
     return faults
 
@@ -182,7 +186,7 @@
 
 
 def _change_host(planner, view, name, now):
-    """Loses a host that is there, or gains one that is not."""
+    """Toggles the presence of a host and reports it to the planner."""
     (host,) = (each for each in view.hosts if each.host == name)
     changed = host._replace(present=not host.present)
     groups = tuple(_change_group(group, changed, now) for group in view.groups)
@@ -217,7 +221,7 @@
 
 
 def _carry_out(view, actions, step):
-    """Carries a plan out; loads and drains take one step."""
+    """Applies a plan to a view; loads and drains take one step."""
     dissolved = {a.group for a in actions if isinstance(a, DissolveGroup)}
     repaired = {a.group: a for a in actions if isinstance(a, RepairGroup)}
     groups = []
