--- a/chervilrock/tasks/configurations.py
+++ b/chervilrock/tasks/configurations.py
@@ -33,16 +33,22 @@
 STREAM = "config"
 RETRY_S = 0.5
 TICK_S = 1.0
-FOLLOWING_S = 3.0
-"""Age of the last read after which a node does not wait for the log."""
+MAX_READ_AGE_S = 3.0
+"""Age of the last read up to which a node counts as following the log.
+
+A node that follows the log gives it time to deliver a revision before it
+requests that revision from a peer.
+"""
 
 
 class ApplyResult(NamedTuple):
-    """What became of an applied configuration.
+    """Outcome of an applied configuration.
 
     Attributes:
+      accepted: whether the configuration was accepted
       revision: its revision when it was accepted, else the one in force
-      winner: who was first, None when it was accepted
+      winner: configuration that was applied first, None when this one was
+        accepted
     """
 
     accepted: bool
@@ -51,12 +57,12 @@
 
 
 class ApplyCommand(NamedTuple):
-    """An operator applies a configuration.
+    """Request of an operator to apply a configuration.
 
     Attributes:
-      reply: gets the result, or None when the record certainly was not
+      reply: gets the result, or None when the record was certainly not
         appended
-      deadline: time after which the record is not sent again
+      deadline: time after which the append is not retried
     """
 
     body: ConfigurationApplied
@@ -65,7 +71,7 @@
 
 
 class PeerRecord(NamedTuple):
-    """A peer handed an accepted configuration on."""
+    """An accepted configuration that a peer forwarded."""
 
     stored: StoredRecord
 
@@ -74,10 +80,10 @@
 
 
 class _Pending(NamedTuple):
-    """An appended configuration that was not read back yet.
+    """A configuration that was sent to the log and not yet read back.
 
     Attributes:
-      effect_possible: whether an append of it may have taken effect
+      effect_possible: whether one of its appends may have taken effect
     """
 
     command: ApplyCommand
@@ -85,9 +91,9 @@
 
 
 class ConfigurationTask(LocalConfiguration):
-    """Folds the stream and tells the others which configuration is in force.
+    """Folds the stream and announces the configuration in force.
 
-    A configuration comes by the log or by a peer, whichever is first.
+    A configuration arrives from the log or from a peer, whichever is first.
     """
 
     def __init__(
@@ -99,14 +105,14 @@
         schedule: SnapshotSchedule,
         outages: OutageLog,
     ) -> None:
-        """Make the task with nothing read.
+        """Create a task that has read nothing yet.
 
         Args:
           clock: the clock of this process
-          writer: gives records of this process their identity
+          writer: assigns identities to the records of this process
           outboxes: where `ConfigurationInForce` is sent
-          schedule: tells when a snapshot of the stream is due
-          outages: notes when the stream cannot be read
+          schedule: determines when a snapshot of the stream is due
+          outages: records when the stream cannot be read
         """
         self._clock = clock
         self._writer = writer
@@ -148,10 +154,12 @@
 
     def follows_log(self, now: float) -> bool:
         """See base class."""
-        return self._read_at is not None and now - self._read_at <= FOLLOWING_S
+        return (
+            self._read_at is not None and now - self._read_at <= MAX_READ_AGE_S
+        )
 
     def set_snapshot_duty(self, holds_lease: bool) -> None:
-        """Say whether this node writes snapshots of the stream."""
+        """Set whether this node writes snapshots of the stream."""
         self._writes_snapshots = holds_lease
 
     async def run(self) -> None:
@@ -168,17 +176,17 @@
         if isinstance(message, PageRead):
             self._read_at = now
             self._outages.record_success(STREAM, now)
-            self._take_page(message, now)
+            self._handle_page(message, now)
         elif isinstance(message, ReadFailed):
             self._outages.record_failure(STREAM, message.error.message, now)
         elif isinstance(message, BatchAppended):
-            self._take_append(message, now)
+            self._handle_append(message, now)
         elif isinstance(message, ApplyCommand):
             self._apply(message)
         else:
             self._reader.fold.adopt(message.stored)
 
-    def _take_page(self, message: PageRead, now: float) -> None:
+    def _handle_page(self, message: PageRead, now: float) -> None:
         was_known = self._reader.known
         result = self._reader.read(message.start, message.page)
         if was_known and not self._reader.known:
@@ -192,10 +200,10 @@
             self.read_task.move(result.position)
         for upto in result.snapshots:
             self._schedule.record_read(upto, now)
-        self._settle(result)
+        self._answer_operators(result)
 
-    def _settle(self, result: ReadResult) -> None:
-        """Answer the operators whose records were read back."""
+    def _answer_operators(self, result: ReadResult) -> None:
+        """Send the results of the records that were read back to operators."""
         for step in result.steps:
             record_id = step.stored.record.record_id
             self._record_loss(step.verdict)
@@ -204,10 +212,12 @@
             pending = self._pending.pop(record_id, None)
             if pending is None or pending.command.reply.done():
                 continue
-            pending.command.reply.set_result(self._judge(step.verdict.accepted))
+            pending.command.reply.set_result(
+                self._make_result(step.verdict.accepted)
+            )
 
     def _record_loss(self, verdict: Verdict) -> None:
-        """Log a configuration that another one came before."""
+        """Log a configuration that lost to one applied before it."""
         body = verdict.body
         if verdict.reason is not Reason.STALE_BASE:
             return
@@ -221,7 +231,7 @@
             winner="" if in_force is None else in_force.operator,
         )
 
-    def _judge(self, accepted: bool) -> ApplyResult:
+    def _make_result(self, accepted: bool) -> ApplyResult:
         fold = self._reader.fold
         in_force = fold.in_force
         winner = None
@@ -235,7 +245,7 @@
         if self.append_task is not None:
             self.append_task.inbox.offer(record)
 
-    def _take_append(self, message: BatchAppended, now: float) -> None:
+    def _handle_append(self, message: BatchAppended, now: float) -> None:
         if message.error is None or self.append_task is None:
             return
         for record in message.records:
--- a/chervilrock/tasks/hosts.py
+++ b/chervilrock/tasks/hosts.py
@@ -11,10 +11,10 @@
 
 
 class HostListTask:
-    """Reads the host list once an interval and sends `HostsListed`.
+    """Reads the host list once per interval and sends `HostsListed`.
 
-    When the list cannot be read the last one stays in force: presence is
-    proved by probes, not by the list.
+    When the list cannot be read, the last one stays in force: probes, not the
+    list, prove that a host is present.
     """
 
     def __init__(
--- a/chervilrock/tasks/idleness.py
+++ b/chervilrock/tasks/idleness.py
@@ -1,4 +1,4 @@
-"""Which draining groups have no request left."""
+"""Detection of draining groups that have no requests left."""
 
 from collections.abc import Iterable
 
@@ -6,26 +6,26 @@
 from chervilrock.generated.records import GroupPhase
 from chervilrock.tasks.loads import GroupLoad
 
-SETTLE_S = 2.0
-"""Time in seconds in which every node has read that a group drains."""
+PROPAGATION_S = 2.0
+"""Time in seconds within which every node has read that a group drains."""
 
 
 class IdleTable:
     """Load reports of draining groups.
 
-    A group counts as idle only when a report that was made after every node
-    had stopped to send it requests shows no request.
+    A group counts as idle only when a report shows no requests and was made
+    after every node had stopped sending requests to the group.
     """
 
     def __init__(self) -> None:
-        """Start without groups."""
+        """Create a table without groups."""
         self._since: dict[str, float] = {}
         self._idle: set[str] = set()
 
     def record_load(self, message: GroupLoad) -> None:
-        """Take a load report."""
+        """Record a load report."""
         since = self._since.get(message.group)
-        if since is None or message.reported_at < since + SETTLE_S:
+        if since is None or message.reported_at < since + PROPAGATION_S:
             return
         load = message.load
         if load["running"] == 0 and load["waiting"] == 0:
@@ -34,7 +34,7 @@
             self._idle.discard(message.group)
 
     def retain(self, groups: Iterable[Group], now: float) -> None:
-        """Follow the groups that drain now."""
+        """Track the groups that are draining and drop all others."""
         draining = {
             group.name for group in groups if group.phase is GroupPhase.DRAINING
         }
--- a/chervilrock/tasks/keys.py
+++ b/chervilrock/tasks/keys.py
@@ -23,7 +23,7 @@
 
 
 class ClaimCommand(NamedTuple):
-    """A request with this key wants to run.
+    """Claim of a key for a request that wants to run.
 
     Attributes:
       reply: gets the verdict, never `WAIT`
@@ -34,14 +34,14 @@
 
 
 class FinishCommand(NamedTuple):
-    """The request with this key has ended."""
+    """The request with this key has completed."""
 
     name: KeyName
     outcome: str
 
 
 class AppendEnded(NamedTuple):
-    """An append of claims ended."""
+    """An append of claims completed."""
 
     ok: bool
 
@@ -52,8 +52,8 @@
 class KeyTask:
     """Claims keys in a stream and reads the claims of all nodes back.
 
-    Claims that come while an append is under way go into the next one
-    together.
+    Claims that arrive while an append is in progress are batched into the
+    next one.
 
     Attributes:
       inbox: mailbox for commands and pages of the stream
@@ -68,13 +68,13 @@
         clock: Clock,
         writer: RecordWriter,
     ) -> None:
-        """Make the task; nothing is claimed yet.
+        """Create a task that has claimed nothing yet.
 
         Args:
           log: log service
           stream: name of the stream of keys
           clock: the clock of this process
-          writer: gives the records of this stream their identity
+          writer: assigns identities to the records of this stream
         """
         self._log = log
         self._stream = stream
@@ -93,7 +93,7 @@
         return await reply
 
     def finish(self, name: KeyName, outcome: str) -> None:
-        """Tell the log how the request with a key has ended."""
+        """Write the outcome of the request with a key to the log."""
         self.inbox.offer(FinishCommand(name, outcome))
 
     async def run(self) -> None:
@@ -104,7 +104,7 @@
                 now = self._clock()
                 if message is not None:
                     self._handle(message, now)
-                self._tell(self._claims.expire(now))
+                self._answer_waiting(self._claims.expire(now))
                 self._start_append()
         finally:
             if self._append is not None:
@@ -112,7 +112,7 @@
 
     def _handle(self, message: Message, now: float) -> None:
         if isinstance(message, ClaimCommand):
-            self._take_claim(message, now)
+            self._handle_claim(message, now)
         elif isinstance(message, FinishCommand):
             self._claims.finish(message.name, message.outcome)
         elif isinstance(message, AppendEnded):
@@ -120,17 +120,21 @@
             self._claims.record_appended(ok=message.ok)
         elif isinstance(message, PageRead):
             decisions = map(self._claims.apply_record, message.page.records)
-            self._tell(tuple(one for one in decisions if one is not None))
+            self._answer_waiting(
+                tuple(
+                    decision for decision in decisions if decision is not None
+                )
+            )
 
-    def _take_claim(self, command: ClaimCommand, now: float) -> None:
+    def _handle_claim(self, command: ClaimCommand, now: float) -> None:
         verdict = self._claims.claim(command.name, now)
         if verdict is KeyVerdict.WAIT:
             self._waiting.setdefault(command.name, []).append(command.reply)
         elif not command.reply.done():
             command.reply.set_result(verdict)
 
-    def _tell(self, decisions: tuple[KeyDecision, ...]) -> None:
-        """Answer those who wait; only one of them may send its request."""
+    def _answer_waiting(self, decisions: tuple[KeyDecision, ...]) -> None:
+        """Answer the waiting requests; only one of them may be dispatched."""
         for decision in decisions:
             verdict = decision.verdict
             for reply in self._waiting.pop(decision.name, []):
--- a/chervilrock/tasks/loads.py
+++ b/chervilrock/tasks/loads.py
@@ -11,10 +11,10 @@
 from chervilrock.tasks.mailbox import Mailbox, Outbox
 
 MAX_READS_PER_S = 16.0
-"""Greatest number of reports that a node reads in a second."""
+"""Maximum number of reports that a node reads per second."""
 
 SLOTS = 4
-"""Parts of an interval, each with its share of the groups."""
+"""Parts of an interval; each reads an equal share of the groups."""
 
 _MS_PER_S = 1000.0
 
@@ -30,7 +30,7 @@
     """A load report of the leading engine of a group.
 
     Attributes:
-      reported_at: greatest time at which the report can have been true
+      reported_at: latest time at which the reported load can have been true
     """
 
     group: str
@@ -39,11 +39,11 @@
 
 
 class LoadTask:
-    """Reads load reports in turn and sends `GroupLoad` messages.
+    """Reads load reports and sends `GroupLoad` messages.
 
-    Each report is read once an interval, or less often when there are more
-    groups than reads allowed in a second. An engine that does not answer holds
-    up no other one.
+    Each report is read once per interval, or less often when the number of
+    groups exceeds the limit of reads per second. An engine that does not
+    answer does not delay the others.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         interval_s: float,
         outboxes: tuple[Outbox[GroupLoad], ...],
     ) -> None:
-        """Make the task; each report goes to every outbox."""
+        """Create a task that sends each report to every outbox."""
         self._engine = engine
         self._clock = clock
         self._interval_s = interval_s
--- a/chervilrock/tasks/log.py
+++ b/chervilrock/tasks/log.py
@@ -20,8 +20,8 @@
 class ReadTask:
     """Reads a stream and sends `PageRead` and `ReadFailed` messages.
 
-    The owner of the fold may set another position by `move`; a page of an
-    earlier position may still come after that and carries its own start.
+    The owner of the fold may set another position with `move`. A page of an
+    earlier position may still arrive after that; each page carries its start.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._position = 1
 
     def move(self, position: int) -> None:
-        """Read from another offset next."""
+        """Set the offset of the next read."""
         self._position = position
 
     async def run(self) -> None:
@@ -76,9 +76,9 @@
 class AppendTask:
     """Appends records in batches and sends `BatchAppended` messages.
 
-    Records that wait while an append is under way go into the next batch.
-    A batch is tried once; its owner decides whether to send a record again,
-    with the same identity.
+    Records that arrive while an append is in progress go into the next batch.
+    A batch is sent once; its owner decides whether to retry a record, with the
+    same identity.
     """
 
     def __init__(
--- a/chervilrock/tasks/mailbox.py
+++ b/chervilrock/tasks/mailbox.py
@@ -1,9 +1,9 @@
 """Bounded queues between tasks.
 
-A task reads its own mailbox and writes to those of others. A mailbox never
-blocks its writer: when it is full, the oldest message that may be lost is
-dropped and counted. Messages that may not be lost are put with `send`, which
-waits.
+A task reads its own mailbox and writes to those of other tasks. Messages that
+may be lost are put with `offer`, which never blocks the writer: when the
+mailbox is full, the oldest message is dropped and counted. Messages that must
+not be lost are put with `send`, which waits.
 """
 
 import asyncio
@@ -48,14 +48,14 @@
         self._queue.put_nowait(message)
 
     async def receive(self) -> Message:
-        """Return the next message, waiting for it."""
+        """Wait for the next message and return it."""
         return await self._queue.get()
 
     async def receive_within(self, timeout_s: float) -> Message | None:
-        """Return the next message, or None when none comes in time.
+        """Return the next message, or None when the timeout expires.
 
-        `asyncio.wait_for` of Python 3.11 loses a cancellation that comes
-        together with a message, so that its task would never end.
+        `asyncio.wait_for` of Python 3.11 loses a cancellation that coincides
+        with a message, so that its task would never end.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -64,7 +64,7 @@
             return None
 
     def receive_waiting(self) -> tuple[Message, ...]:
-        """Return all messages that are there now."""
+        """Return all messages in the queue without waiting."""
         waiting = []
         while not self._queue.empty():
             waiting.append(self._queue.get_nowait())
--- a/chervilrock/tasks/messages.py
+++ b/chervilrock/tasks/messages.py
@@ -1,7 +1,7 @@
 """Messages between the tasks of a node.
 
-Every message carries the times that a decision needs: when a request was
-sent and when its answer was read, in seconds of the clock of this process.
+Every message carries the times that a decision needs: when a request was sent
+and when its answer was read, in seconds of the clock of this process.
 """
 
 from collections.abc import Mapping
@@ -26,10 +26,10 @@
 
     Attributes:
       stream: name of the stream
-      start: offset that was asked for
-      page: what the log service answered
+      start: requested offset
+      page: answer of the log service
       sent_at: when the read was sent
-      read_at: when the answer came
+      read_at: when the answer arrived
     """
 
     stream: str
@@ -48,13 +48,13 @@
 
 
 class BatchAppended(NamedTuple):
-    """An append ended.
+    """An append completed.
 
     Attributes:
       records: the records of the batch
-      error: None when the log service took them
+      error: None when the log service accepted them
       sent_at: when the append was sent
-      ended_at: when its answer came or the wait for it ended
+      ended_at: when its answer arrived or its timeout expired
     """
 
     stream: str
@@ -65,10 +65,10 @@
 
 
 class HostProbed(NamedTuple):
-    """A model engine was asked for its state.
+    """A model engine was queried for its state.
 
     Attributes:
-      state: None when it gave no valid answer
+      state: None when there was no valid answer
       sent_at: when the probe was sent
     """
 
@@ -86,11 +86,11 @@
 
 
 class OrderAnswered(NamedTuple):
-    """A model engine answered an order, or did not.
+    """An order was answered by its model engine, or failed.
 
     Attributes:
       accepted: None when the effect of the order is unknown
-      state: what the engine holds, None without a valid answer
+      state: state of the engine, None without a valid answer
     """
 
     host: str
@@ -102,10 +102,10 @@
 
 
 class ConfigurationInForce(NamedTuple):
-    """Another configuration is in force at this node.
+    """A new configuration is in force at this node.
 
     Attributes:
-      stored: the accepted record, as peers hand it on
+      stored: the accepted record, as peers forward it
     """
 
     revision: int
@@ -125,7 +125,7 @@
 
     Attributes:
       hosts: entries of the host list by host; never changed
-      frequent: hosts to probe more often than others
+      frequent: hosts to probe more often than the others
     """
 
     hosts: Mapping[str, HostEntry]
--- a/chervilrock/tasks/orders.py
+++ b/chervilrock/tasks/orders.py
@@ -1,4 +1,4 @@
-"""The task that gives orders to model engines."""
+"""The task that sends orders to model engines."""
 
 import asyncio
 from typing import NamedTuple
@@ -16,8 +16,8 @@
     """An order to send.
 
     Attributes:
-      valid_until: end of the lease under which the order was decided; the
-        order is dropped when it has passed
+      valid_until: end of the lease under which the order was decided; a later
+        order is dropped
     """
 
     host: str
@@ -27,9 +27,9 @@
 
 
 class OrderTask:
-    """Sends orders and answers with `OrderAnswered` messages.
+    """Sends orders and reports the answers by `OrderAnswered` messages.
 
-    The lease is checked once more right before each order leaves, since the
+    The lease is checked again right before each order is sent, since the
     process may have been paused after the decision.
     """
 
--- a/chervilrock/tasks/outages.py
+++ b/chervilrock/tasks/outages.py
@@ -1,24 +1,24 @@
-"""Notes when a stream of the log service cannot be read."""
+"""Log events and metrics of outages of the log service."""
 
 from chervilrock import events
 from chervilrock.metrics import Metrics
 
 
 class OutageLog:
-    """Logs the begin and the end of outages and counts their seconds."""
+    """Logs the start and the end of outages and counts their seconds."""
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Start with every stream readable."""
+        """Create a log in which every stream is readable."""
         self._metrics = metrics
         self._since: dict[str, float] = {}
         self._counted: dict[str, float] = {}
 
-    def is_out(self, stream: str) -> bool:
+    def has_outage(self, stream: str) -> bool:
         """Return whether the last read of a stream failed."""
         return stream in self._since
 
     def record_failure(self, stream: str, reason: str, now: float) -> None:
-        """Note that a read failed at `now`."""
+        """Record that a read failed at `now`."""
         if stream not in self._since:
             self._since[stream] = now
             events.emit(
@@ -27,7 +27,7 @@
         self._count(stream, now)
 
     def record_success(self, stream: str, now: float) -> None:
-        """Note that a read succeeded at `now`."""
+        """Record that a read succeeded at `now`."""
         since = self._since.pop(stream, None)
         if since is None:
             return
--- a/chervilrock/tasks/pace.py
+++ b/chervilrock/tasks/pace.py
@@ -1,61 +1,61 @@
-"""How often the controller decides."""
+"""Schedule of the decisions of the controller."""
 
-SHORTEST_S = 0.3
-"""Least time between two decisions while something is under way."""
+MIN_INTERVAL_S = 0.3
+"""Minimum time between two decisions while work is pending."""
 
-IDLE_S = 5.0
-"""Time between two decisions while nothing changes and nothing is awaited."""
+IDLE_INTERVAL_S = 5.0
+"""Time between two decisions while nothing changes and no work is pending."""
 
-SHARE = 0.01
-"""Greatest share of the time that decisions take, with their planning."""
+MAX_TIME_SHARE = 0.01
+"""Maximum share of time that decisions may take, including planning."""
 
 BURST_S = 0.5
-"""Time that decisions may take beyond that share for a while."""
+"""Time that decisions may take beyond that share in a burst."""
 
 
-class Pace:
-    """Tells when to decide, by what changes and by what a decision costs.
+class DecisionSchedule:
+    """Determines when to decide, by pending work and the cost of decisions.
 
     Attributes:
-      awaits: whether something has changed, is under way or waited for
+      has_work: whether something has changed, is in progress or awaited
     """
 
     def __init__(self) -> None:
-        """Start with a decision that is due."""
-        self.awaits = True
+        """Create a schedule with a decision due."""
+        self.has_work = True
         self._decided_at = float("-inf")
         self._spent_s = 0.0
-        self._hurries = False
+        self._is_requested_now = False
 
     def record_change(self) -> None:
-        """Note that there is something new to decide on."""
-        self.awaits = True
+        """Record that there is something new to decide on."""
+        self.has_work = True
 
-    def hurry(self) -> None:
-        """Decide as soon as possible."""
-        self.awaits = True
-        self._hurries = True
+    def request_now(self) -> None:
+        """Make a decision due at once."""
+        self.has_work = True
+        self._is_requested_now = True
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is time to decide."""
-        wait_s = IDLE_S
-        if self.awaits:
-            over_s = self._spent_s - BURST_S
-            wait_s = max(SHORTEST_S, over_s / SHARE)
-        return self._hurries or now >= self._decided_at + wait_s
+        """Return whether a decision is due."""
+        wait_s = IDLE_INTERVAL_S
+        if self.has_work:
+            excess_s = self._spent_s - BURST_S
+            wait_s = max(MIN_INTERVAL_S, excess_s / MAX_TIME_SHARE)
+        return self._is_requested_now or now >= self._decided_at + wait_s
 
     def record_decided(
-        self, now: float, *, cost_s: float, awaits: bool
+        self, now: float, *, cost_s: float, has_work: bool
     ) -> None:
-        """Note a decision.
+        """Record a decision.
 
         Args:
           now: time before the decision, in seconds.
-          cost_s: time that it took in seconds.
-          awaits: whether something is under way or waited for.
+          cost_s: time that it took, in seconds.
+          has_work: whether something is in progress or awaited.
         """
-        earned_s = SHARE * (now - self._decided_at)
-        self._spent_s = max(0.0, self._spent_s - earned_s) + cost_s
+        refilled_s = MAX_TIME_SHARE * (now - self._decided_at)
+        self._spent_s = max(0.0, self._spent_s - refilled_s) + cost_s
         self._decided_at = now
-        self._hurries = False
-        self.awaits = awaits
+        self._is_requested_now = False
+        self.has_work = has_work
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -1,4 +1,4 @@
-"""The task that exchanges what nodes know with other nodes."""
+"""The task that exchanges digests with other nodes."""
 
 import abc
 import asyncio
@@ -37,17 +37,17 @@
 ]
 
 EXCHANGE_TIMEOUT_S = 1.0
-PROMPT_POLL_S = 0.1
-"""Time between two looks for urgent news."""
+IMMEDIATE_POLL_S = 0.1
+"""Interval of the checks for urgent updates."""
 
-MAX_OUTSTANDING = 8
-"""Exchanges under way that this node began, above which it begins none."""
+MAX_RUNNING_EXCHANGES = 8
+"""Maximum number of concurrent exchanges that this node starts."""
 
 _DIGEST_DECODER = msgspec.json.Decoder(PeerDigest)
 
 
 class PeerChannel(abc.ABC):
-    """Carries a digest to a peer and its digest back."""
+    """Sends a digest to a peer and returns the digest of the peer."""
 
     @abc.abstractmethod
     async def exchange(
@@ -78,7 +78,7 @@
 
 
 def decode_digest(body: bytes) -> Result[PeerDigest, PlatformError]:
-    """Read a digest; a malformed one is an error, never an exception."""
+    """Decode a digest; a malformed one is a failure, never an exception."""
     try:
         digest = _DIGEST_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -104,24 +104,24 @@
         generator: "random.Random",
         before_exchange: "Callable[[], None]",
     ) -> None:
-        """Make the task.
+        """Create a task without exchanges.
 
         Args:
-          table: the nodes; this task alone changes it
-          channel: carries digests
-          localconfiguration: holds the configuration in force
+          table: table of the nodes; only this task changes it
+          channel: transports digests
+          localconfiguration: provides the configuration in force
           shares: counts the requests of bounded workspaces
           seeds: addresses of nodes from the settings
           clock: the clock of this process
           generator: chooses peers
-          before_exchange: brings the own entry of the table up to date
+          before_exchange: updates the entry of this node in the table
         """
         self._table = table
         self._channel = channel
         self._clock = clock
         self._before_exchange = before_exchange
         self._losses = LossDetector()
-        self._under_way: set[asyncio.Task[None]] = set()
+        self._running: set[asyncio.Task[None]] = set()
         self._error: BaseException | None = None
         self._links = PeerLinks(table=table, seeds=seeds, generator=generator)
         self._exchange = PeerExchange(
@@ -139,15 +139,15 @@
                 self.begin()
                 await self._wait(self._clock() + self._exchange.next_pause())
         finally:
-            for task in self._under_way:
+            for task in self._running:
                 task.cancel()
 
     def record_controller(self, address: str) -> None:
-        """Take the controller that the log names as one more seed."""
+        """Add the controller that the log names as another seed."""
         self._links.record_controller(address)
 
     def begin(self) -> None:
-        """Begin the exchanges of an interval."""
+        """Start the exchanges of an interval."""
         self._before_exchange()
         now = self._clock()
         messages = self._exchange.begin(now)
@@ -155,8 +155,8 @@
         self._start(messages)
 
     def begin_immediate(self) -> None:
-        """Begin an exchange at once, if there is urgent news."""
-        if self._under_way or not self._exchange.is_immediate_due():
+        """Start an exchange at once if there are urgent updates."""
+        if self._running or not self._exchange.is_immediate_due():
             return
         self._before_exchange()
         message = self._exchange.begin_immediate(self._clock())
@@ -169,46 +169,46 @@
             raise self._error
 
     async def settle(self) -> None:
-        """Wait until no exchange is under way."""
-        while self._under_way:
-            await asyncio.gather(*self._under_way)
+        """Wait until no exchange is in progress."""
+        while self._running:
+            await asyncio.gather(*self._running)
 
     async def announce(self) -> None:
-        """Tell all neighbours of the own entry at once."""
+        """Send the entry of this node to all neighbours at once."""
         self._before_exchange()
         messages = self._exchange.announce(self._clock())
         await asyncio.gather(*(self._run_exchange(m) for m in messages))
 
     def answer(self, digest: PeerDigest) -> PeerDigest:
-        """Take a digest of a peer and return the own one."""
+        """Apply the digest of a peer and return the digest of this node."""
         return self._exchange.answer(digest, self._clock())
 
     async def _wait(self, until: float) -> None:
-        """Wait for the next interval, looking out for urgent news."""
-        while (left := until - self._clock()) > 0:
-            await asyncio.sleep(min(left, PROMPT_POLL_S))
+        """Wait for the next interval, checking for urgent updates."""
+        while (remaining_s := until - self._clock()) > 0:
+            await asyncio.sleep(min(remaining_s, IMMEDIATE_POLL_S))
             self.raise_error()
             self.begin_immediate()
 
     def _start(self, messages: Iterable[Message]) -> None:
         for message in messages:
-            if len(self._under_way) >= MAX_OUTSTANDING:
+            if len(self._running) >= MAX_RUNNING_EXCHANGES:
                 return
             task = asyncio.create_task(self._run_exchange(message))
-            self._under_way.add(task)
-            task.add_done_callback(self._record_end)
+            self._running.add(task)
+            task.add_done_callback(self._record_completion)
 
-    def _record_end(self, task: "asyncio.Task[None]") -> None:
-        """Keep the error of an exchange, so that `run` ends with it."""
-        self._under_way.discard(task)
+    def _record_completion(self, task: "asyncio.Task[None]") -> None:
+        """Record the error of an exchange, so that `run` raises it."""
+        self._running.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._error = task.exception()
 
     async def _run_exchange(self, message: Message) -> None:
-        """Exchange with a peer until neither lacks anything."""
-        following: Message | None = message
-        while following is not None:
-            following = await self._send(following)
+        """Exchange with a peer until both have all updates."""
+        next_message: Message | None = message
+        while next_message is not None:
+            next_message = await self._send(next_message)
 
     async def _send(self, message: Message) -> Message | None:
         result = await self._channel.exchange(message.address, message.digest)
--- a/chervilrock/tasks/probes.py
+++ b/chervilrock/tasks/probes.py
@@ -1,8 +1,8 @@
-"""The task that asks model engines what they hold.
+"""The task that queries the state of model engines.
 
-Its answers are the evidence that a host is present. Each host is probed once
-an interval, some of them in each part of it; the probes are spread over the
-interval.
+The answers are the evidence that a host is present. Each host is probed once
+per interval, and frequently probed hosts in each part of it. The probes are
+spread over the interval.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from chervilrock.tasks.messages import HostProbed, HostsToProbe
 
 SLOTS = 4
-"""Parts of an interval, each with its share of the hosts.
+"""Parts of an interval; each probes an equal share of the hosts.
 
 Probes that are answered together wake the process less often.
 """
@@ -24,8 +24,8 @@
 class ProbeTask:
     """Probes hosts and sends `HostProbed` messages.
 
-    A host whose last probe has not ended is not probed again, so a host that
-    does not answer costs one open request.
+    A host whose last probe is still open is not probed again, so an
+    unresponsive host costs one open request.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._clock = clock
         self._slot_s = interval_s / SLOTS
         self._outbox = outbox
-        self._wanted = HostsToProbe({})
+        self._targets = HostsToProbe({})
         self._running: dict[str, asyncio.Task[None]] = {}
         self.inbox: Mailbox[HostsToProbe] = Mailbox(size=4)
 
@@ -48,10 +48,10 @@
         """Probe until cancelled."""
         slot = 0
         while True:
-            for wanted in self.inbox.receive_waiting():
-                self._wanted = wanted
-            for number, host in enumerate(self._wanted.hosts):
-                if number % SLOTS == slot or host in self._wanted.frequent:
+            for targets in self.inbox.receive_waiting():
+                self._targets = targets
+            for number, host in enumerate(self._targets.hosts):
+                if number % SLOTS == slot or host in self._targets.frequent:
                     self._start(host)
             slot = (slot + 1) % SLOTS
             await asyncio.sleep(self._slot_s)
@@ -59,7 +59,7 @@
     def _start(self, host: str) -> None:
         if host in self._running:
             return
-        address = self._wanted.hosts[host]["address"]
+        address = self._targets.hosts[host]["address"]
         task = asyncio.create_task(self._probe(host, address))
         self._running[host] = task
         task.add_done_callback(lambda _: self._running.pop(host))
--- a/chervilrock/tasks/region.py
+++ b/chervilrock/tasks/region.py
@@ -1,8 +1,8 @@
 """The task that follows a region and, with the lease, controls it.
 
-It owns everything that is known of the region: the fold of its stream, the
-lease, the evidence of the hosts and what is under way. Others get views of it
-by messages.
+It owns all state of the region: the fold of its stream, the lease, the
+evidence of the hosts and the work in progress. Other tasks receive views of
+it in messages.
 """
 
 import asyncio
@@ -49,7 +49,7 @@
     ServingView,
 )
 from chervilrock.tasks.region_report import make_report, RegionReport
-from chervilrock.tasks.region_views import RegionPicture, RegionViews
+from chervilrock.tasks.region_views import ObservedRegion, RegionViews
 
 if TYPE_CHECKING:
     from chervilrock.tasks.region_control import RegionControl
@@ -64,13 +64,13 @@
 ]
 
 TICK_S = 0.1
-"""Longest wait for a message before the task looks at the time."""
+"""Maximum wait for a message before the task checks what is due."""
 
-PACE_S = 0.05
-"""Time in which messages gather before they are taken together."""
+BATCH_INTERVAL_S = 0.05
+"""Time for which messages are collected before they are handled together."""
 
-TURNS_PER_LEASE = 12
-"""Least number of times that the task looks at the time in a lease."""
+MIN_STEPS_PER_LEASE = 12
+"""Minimum number of times per lease that the task checks what is due."""
 
 _MS_PER_S = 1000.0
 
@@ -90,7 +90,7 @@
         metrics: Metrics,
         outages: OutageLog,
     ) -> None:
-        """Make the task with nothing read."""
+        """Create a task that has read nothing yet."""
         self._identity = identity
         self._clock = clock
         self._lease = lease
@@ -101,7 +101,7 @@
         self._outages = outages
         self._reader = StreamReader(fold=RegionState())
         self._events = RegionEvents(region=identity.region)
-        self._keeper = RegionLease(
+        self._lease_keeper = RegionLease(
             identity=identity, lease=lease, writer=writer, events=self._events
         )
         self._views = RegionViews(
@@ -126,16 +126,16 @@
     async def run(self, ports: RegionPorts) -> None:
         """Follow the region until cancelled."""
         lease_s = self._identity.lease_ms / _MS_PER_S
-        pace_s = min(PACE_S, lease_s / TURNS_PER_LEASE)
+        batch_interval_s = min(BATCH_INTERVAL_S, lease_s / MIN_STEPS_PER_LEASE)
         while True:
             first = await self.inbox.receive_within(TICK_S)
             if first is not None:
                 self._handle(first, ports, self._clock())
             self.advance(ports)
-            await asyncio.sleep(pace_s)
+            await asyncio.sleep(batch_interval_s)
 
     def advance(self, ports: RegionPorts) -> None:
-        """Take the messages that wait, and do what is due."""
+        """Handle the waiting messages and do what is due."""
         for message in self.inbox.receive_waiting():
             self._handle(message, ports, self._clock())
         self._step(ports, self._clock())
@@ -144,39 +144,39 @@
         self, message: RegionMessage, ports: RegionPorts, now: float
     ) -> None:
         if isinstance(message, HostProbed):
-            self._take_probe(message)
+            self._handle_probe(message)
         elif isinstance(message, PageRead):
-            self._take_page(message, ports)
+            self._handle_page(message, ports)
         elif isinstance(message, ReadFailed):
             stream = self._identity.stream
             self._outages.record_failure(stream, message.error.message, now)
         elif isinstance(message, BatchAppended):
-            self._take_append(message)
+            self._handle_append(message)
         elif isinstance(message, HostsListed):
-            self._take_hosts(message)
+            self._handle_hosts(message)
         elif isinstance(message, OrderAnswered):
-            self._take_order(message)
+            self._handle_order(message)
         elif isinstance(message, ConfigurationInForce):
-            self._take_configuration(message, now)
+            self._handle_configuration(message, now)
         elif isinstance(message, GroupLoad):
             if self._control is not None:
                 self._control.record_load(message)
         elif isinstance(message, ReportWanted):
-            # Whoever asked may have given up while this process stood still.
+            # The requester may have given up while this process was paused.
             if not message.reply.done():
                 message.reply.set_result(self._make_report(now))
         else:
-            self._keeper.give_up(ports.appender, now)
+            self._lease_keeper.release(ports.appender, now)
             if not message.done.done():
                 message.done.set_result(None)
 
-    def _take_probe(self, message: HostProbed) -> None:
+    def _handle_probe(self, message: HostProbed) -> None:
         if message.state is not None:
             self._presence.observe(
                 message.host, message.state, message.sent_at, message.read_at
             )
 
-    def _take_page(self, message: PageRead, ports: RegionPorts) -> None:
+    def _handle_page(self, message: PageRead, ports: RegionPorts) -> None:
         self._outages.record_success(self._identity.stream, message.read_at)
         self._read_at = message.read_at
         was_known = self._reader.known
@@ -187,16 +187,16 @@
             self._events.record_trimmed(
                 self._identity.stream, message.start, message.page.first_offset
             )
-        self._follow(result, message.read_at)
+        self._handle_records(result, message.read_at)
 
-    def _follow(self, result: ReadResult, now: float) -> None:
-        """Let lease, progress and log events follow the records."""
+    def _handle_records(self, result: ReadResult, now: float) -> None:
+        """Update the lease, the progress and the log events by the records."""
         if result.restored:
             self._adopt_snapshot(now)
         for upto in result.snapshots:
             self._schedule.record_read(upto, now)
         for step in result.steps:
-            self._follow_step(step, now)
+            self._handle_step(step, now)
 
     def _adopt_snapshot(self, now: float) -> None:
         region = self._region
@@ -204,7 +204,7 @@
         lease_s = None if controller is None else controller.lease_s
         self._lease.adopt(region.epoch, lease_s, now)
 
-    def _follow_step(self, step: FoldStep, now: float) -> None:
+    def _handle_step(self, step: FoldStep, now: float) -> None:
         record = step.stored.record
         if step.verdict.kind is VerdictKind.SKIPPED:
             return
@@ -214,17 +214,17 @@
             if record.kind is not RecordKind.CONTROLLER_RENEWED:
                 self._control.record_change()
         if step.verdict.accepted:
-            self._events.record_record(step.verdict.body, step.stored.offset)
+            self._events.record_accepted(step.verdict.body, step.stored.offset)
 
-    def _take_append(self, message: BatchAppended) -> None:
+    def _handle_append(self, message: BatchAppended) -> None:
         if message.error is None:
-            taken = message.ended_at - message.sent_at
-            self._metrics.log_append_seconds.observe(taken)
+            append_s = message.ended_at - message.sent_at
+            self._metrics.log_append_seconds.observe(append_s)
         if self._control is not None:
             self._control.record_appended(message)
 
-    def _take_hosts(self, message: HostsListed) -> None:
-        """Take over a host list that is another than the last one."""
+    def _handle_hosts(self, message: HostsListed) -> None:
+        """Apply a host list that differs from the last one."""
         listed = message.hosts
         if listed is self._listed or listed == self._listed:
             return
@@ -242,7 +242,7 @@
         if self._control is not None:
             self._control.record_change()
 
-    def _take_order(self, message: OrderAnswered) -> None:
+    def _handle_order(self, message: OrderAnswered) -> None:
         if self._control is not None:
             self._control.record_answered(message)
         if message.accepted is False and message.state is not None:
@@ -250,30 +250,30 @@
                 message.host, message.order["fence"], message.state["fence"]
             )
 
-    def _take_configuration(
+    def _handle_configuration(
         self, message: ConfigurationInForce, now: float
     ) -> None:
         self._configuration = message.document
         self._revision = message.revision
-        self._views.measure(self._make_picture(), now)
+        self._views.measure(self._observe_region(), now)
         if self._control is not None:
             self._control.record_configuration()
 
     def _step(self, ports: RegionPorts, now: float) -> None:
-        """Decide everything that is due."""
-        self._keeper.keep(
+        """Maintain the lease, control the region and publish its views."""
+        self._lease_keeper.maintain(
             self._region, ports.appender, now, known=self._reader.known
         )
-        picture = self._make_picture()
-        changed = self._views.update(picture, now)
+        observed = self._observe_region()
+        changed = self._views.update(observed, now)
         if changed and self._control is not None:
             self._control.record_change()
-        self._control_safely(ports, now)
-        self._views.publish(picture, ports, now)
+        self._control_guarded(ports, now)
+        self._views.publish(observed, ports, now)
 
-    def _make_picture(self) -> RegionPicture:
+    def _observe_region(self) -> ObservedRegion:
         wanted = self._configuration
-        return RegionPicture(
+        return ObservedRegion(
             region=self._region,
             known=self._reader.known,
             hosts=self._hosts,
@@ -281,10 +281,11 @@
             models=() if wanted is None else tuple(wanted["models"]),
         )
 
-    def _control_safely(self, ports: RegionPorts, now: float) -> None:
-        """Control the region; a fault in it must not stop the requests.
+    def _control_guarded(self, ports: RegionPorts, now: float) -> None:
+        """Control the region; an error in that must not stop the requests.
 
-        Each node would fail in turn, while the groups could go on serving.
+        Without this each node would fail in turn as it takes over the lease,
+        although the groups could continue to serve.
         """
         try:
             self._control_region(ports, now)
@@ -294,10 +295,10 @@
             )
 
     def _control_region(self, ports: RegionPorts, now: float) -> None:
-        """Control the region if this node was granted its epoch."""
+        """Control the region if this node was granted an epoch."""
         if not self._lease.granted_epoch or self._configuration is None:
             return
-        if self._keeper.stopping or not self._reader.known:
+        if self._lease_keeper.stopping or not self._reader.known:
             return
         facts = RegionFacts(
             region=self._region,
@@ -308,11 +309,11 @@
             configuration=self._configuration,
             revision=self._revision,
         )
-        control = self._find_control(ports)
-        control.control(facts, self._find_outage(), now)
+        control = self._get_control(ports)
+        control.control(facts, self._find_outage_start(), now)
 
-    def _find_control(self, ports: RegionPorts) -> "RegionControl":
-        """Return the part that controls, which is made when it is needed."""
+    def _get_control(self, ports: RegionPorts) -> "RegionControl":
+        """Return the controlling part; it is created on first use."""
         if self._control is None:
             from chervilrock.tasks.region_control import RegionControl
 
@@ -325,9 +326,9 @@
             )
         return self._control
 
-    def _find_outage(self) -> float | None:
-        """Return when the log was last read, if it cannot be read now."""
-        if self._outages.is_out(self._identity.stream):
+    def _find_outage_start(self) -> float | None:
+        """Return when the log was last read, None when it can be read."""
+        if self._outages.has_outage(self._identity.stream):
             return self._read_at
         return None
 
@@ -337,7 +338,7 @@
             presence=self._presence,
             hosts=self._hosts,
             known=self._reader.known,
-            reachable=not self._outages.is_out(self._identity.stream),
+            reachable=not self._outages.has_outage(self._identity.stream),
             epoch_held=self._lease.holder.epoch,
             now=now,
         )
--- a/chervilrock/tasks/region_control.py
+++ b/chervilrock/tasks/region_control.py
@@ -1,7 +1,7 @@
 """The part of the region task that controls the region.
 
-It is made when this node is granted the lease for the first time, so a node
-that never holds it spends no memory on it.
+It is created when this node is granted the lease for the first time, so that a
+node that never holds the lease spends no memory on it.
 """
 
 from chervilrock import events
@@ -21,15 +21,15 @@
 from chervilrock.tasks.loads import GroupLoad
 from chervilrock.tasks.messages import BatchAppended, OrderAnswered
 from chervilrock.tasks.orders import OrderRequest
-from chervilrock.tasks.pace import Pace
+from chervilrock.tasks.pace import DecisionSchedule
 from chervilrock.tasks.region_messages import RegionFacts, RegionPorts
 
 REPLAN_S = 60.0
-"""Time after which the planner is asked again though nothing has changed."""
+"""Time after which the planner runs again although nothing has changed."""
 
 
 class RegionControl:
-    """Decides, appends and orders for the controller of a region."""
+    """Decides, appends records and sends orders as controller of a region."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
         ports: RegionPorts,
         clock: Clock,
     ) -> None:
-        """Start with nothing under way.
+        """Create a controller with nothing in progress.
 
         Args:
           stream: name of the stream of the region
-          writer: gives records of this process their identity
-          schedule: tells when a snapshot of the stream is due
-          ports: where records and orders go
-          clock: measures what a decision takes
+          writer: assigns identities to the records of this process
+          schedule: determines when a snapshot of the stream is due
+          ports: receive the records and orders
+          clock: measures the time of a decision
         """
         self._stream = stream
         self._writer = writer
@@ -59,62 +59,64 @@
         self._actions: tuple[Action, ...] = ()
         self._planned_at = float("-inf")
         self._clock = clock
-        self._pace = Pace()
+        self._decision_schedule = DecisionSchedule()
 
     def record_configuration(self) -> None:
-        """Note that another configuration is in force."""
-        self._pace.hurry()
+        """Record that a new configuration is in force."""
+        self._decision_schedule.request_now()
 
     def record_change(self) -> None:
-        """Note that something in the region has changed."""
-        self._pace.record_change()
+        """Record that something in the region has changed."""
+        self._decision_schedule.record_change()
 
     def record_read(self, record_id: RecordId) -> None:
-        """Note that a record was read back, whatever came of it."""
+        """Record that a record was read back, accepted or not."""
         self._progress.record_read(record_id)
 
     def record_appended(self, message: BatchAppended) -> None:
-        """Note records that surely were not appended."""
+        """Record which records were certainly not appended."""
         if message.error is None or message.error.effect_possible:
             return
-        self._pace.record_change()
+        self._decision_schedule.record_change()
         for record in message.records:
             self._progress.record_read(record.record_id)
 
     def record_answered(self, message: OrderAnswered) -> None:
-        """Note the answer to an order."""
-        self._pace.record_change()
+        """Record the answer to an order."""
+        self._decision_schedule.record_change()
         self._progress.record_answered(
             message.host, message.order, message.accepted, message.sent_at
         )
 
     def record_load(self, message: GroupLoad) -> None:
-        """Note the load report of a group."""
+        """Record the load report of a group."""
         self._idle.record_load(message)
 
     def control(
         self, facts: RegionFacts, out_since: float | None, now: float
     ) -> None:
-        """Append and order what is allowed now, if it is time to decide.
+        """Append records and send orders, if a decision is due.
 
         Args:
-          facts: what is known of the region.
+          facts: state of the region as this node knows it.
           out_since: when the log was last read, None when it can be read.
-          now: present time in seconds.
+          now: current time in seconds.
         """
-        if not self._pace.is_due(now):
+        if not self._decision_schedule.is_due(now):
             return
         started_at = self._clock()
-        awaits = out_since is not None or is_awaiting(facts)
+        has_work = out_since is not None or is_in_transition(facts)
         if facts.lease.may_act(now):
-            awaits |= self._control_leased(facts, now)
+            has_work |= self._control_leased(facts, now)
         if out_since is not None:
             self._control_outage(facts, out_since, now)
         cost_s = self._clock() - started_at
-        self._pace.record_decided(now, cost_s=cost_s, awaits=awaits)
+        self._decision_schedule.record_decided(
+            now, cost_s=cost_s, has_work=has_work
+        )
 
     def _control_leased(self, facts: RegionFacts, now: float) -> bool:
-        """Append and order what the lease allows; return if there was any."""
+        """Act under the lease and return whether there was anything to do."""
         self._idle.retain(facts.region.groups.values(), now)
         effects = self._decide(facts, now)
         for effect in effects:
@@ -125,7 +127,7 @@
     def _control_outage(
         self, facts: RegionFacts, out_since: float, now: float
     ) -> None:
-        """Order what is allowed without the log, by grants made ahead."""
+        """Send the orders that earlier grants allow without the log."""
         orders = decide_outage(
             region=facts.region,
             presence=facts.presence,
@@ -139,12 +141,15 @@
             self._perform(order, now)
 
     def _plan(self, facts: RegionFacts, now: float) -> tuple[Action, ...]:
-        """Return what the planner asks for.
+        """Return the actions of the planner.
 
-        While nothing changes it asks for the same, but for the costs of the
-        calendar, so it is asked once in a while only.
+        While nothing changes, only the costs of the calendar can change the
+        actions, so the planner runs at a long interval.
         """
-        if not self._pace.awaits and now < self._planned_at + REPLAN_S:
+        if (
+            not self._decision_schedule.has_work
+            and now < self._planned_at + REPLAN_S
+        ):
             return self._actions
         wanted = facts.configuration
         view = make_plan_input(
@@ -193,7 +198,7 @@
         self._ports.orders.inbox.offer(request)
 
     def _append(self, body: Body, now: float) -> None:
-        """Append a record and note it as under way."""
+        """Append a record and mark it as in progress."""
         record = self._writer.prepare(body)
         self._progress.record_appended(body, record.record_id, now)
         self._ports.appender.inbox.offer(record)
@@ -213,8 +218,8 @@
         )
 
 
-def is_awaiting(facts: RegionFacts) -> bool:
-    """Return whether a group or a host is on its way to another state."""
+def is_in_transition(facts: RegionFacts) -> bool:
+    """Return whether a group or a host is in transition."""
     region = facts.region
     if region.revoked or any(facts.endpoints.list_broken()):
         return True
--- a/chervilrock/tasks/region_events.py
+++ b/chervilrock/tasks/region_events.py
@@ -1,4 +1,4 @@
-"""Log events about a region, each once."""
+"""Log events about a region, each emitted once."""
 
 from collections.abc import Iterable
 
@@ -19,10 +19,10 @@
 
 
 class RegionEvents:
-    """Logs what happens to the lease, the groups and the hosts."""
+    """Logs changes of the lease, the groups and the hosts."""
 
     def __init__(self, *, region: str) -> None:
-        """Start with no lease held and no host missing."""
+        """Create a logger with no lease held and no host missing."""
         self._region = region
         self._epoch = 0
         self._missing: dict[str, str] = {}
@@ -34,7 +34,7 @@
         )
 
     def record_lease(self, epoch: int, now: float) -> None:
-        """Log that the lease was won or lost; `epoch` is 0 without one."""
+        """Log that the lease was acquired or lost; without it `epoch` is 0."""
         if epoch == self._epoch:
             return
         if self._epoch:
@@ -49,16 +49,16 @@
         self._epoch = epoch
 
     def record_released(self, epoch: int) -> None:
-        """Log that this node gave the lease up."""
+        """Log that this node released the lease."""
         emit(Event.LEASE_RELEASED, region=self._region, epoch=epoch)
         self._epoch = 0
 
     def record_refused(self, host: str, fence: int, seen: int) -> None:
-        """Log that an engine refused an order."""
+        """Log that an engine rejected an order."""
         emit(Event.ORDER_REFUSED, host=host, fence=fence, seen=seen)
 
-    def record_record(self, body: Body | None, offset: int) -> None:
-        """Log what an accepted record means."""
+    def record_accepted(self, body: Body | None, offset: int) -> None:
+        """Log the event that an accepted record stands for."""
         if isinstance(body, GroupGranted):
             emit(
                 Event.GROUP_GRANTED,
@@ -101,18 +101,18 @@
     def record_presence(
         self, broken: Iterable[Group], presence: PresenceTable, now: float
     ) -> None:
-        """Log hosts of serving groups that went missing or came back.
+        """Log hosts of serving groups that went missing or returned.
 
         Args:
-          broken: the serving groups that are not whole.
+          broken: the serving groups that are incomplete.
           presence: evidence of the hosts.
-          now: present time in seconds.
+          now: current time in seconds.
         """
         missing = {
             host: group.name
             for group in broken
             for host in presence.missing(group, now)
-            if not _is_awaited(presence, host, now)
+            if not _awaits_first_observation(presence, host, now)
         }
         for host, group_name in missing.items():
             if host not in self._missing:
@@ -131,8 +131,10 @@
         self._missing = missing
 
 
-def _is_awaited(presence: PresenceTable, host: str, now: float) -> bool:
-    """Return whether this node has not had the time to see a host."""
+def _awaits_first_observation(
+    presence: PresenceTable, host: str, now: float
+) -> bool:
+    """Return whether this node has not had time yet to observe a host."""
     if presence.find_last(host) is not None:
         return False
     return now <= presence.created_at + presence.limit
--- a/chervilrock/tasks/region_lease.py
+++ b/chervilrock/tasks/region_lease.py
@@ -1,4 +1,4 @@
-"""The part of the region task that claims, renews and gives up the lease."""
+"""The part of the region task that claims, renews and releases the lease."""
 
 from chervilrock.decisions.lease import LeaseStep, LeaseView
 from chervilrock.decisions.records import Body, RecordWriter
@@ -14,10 +14,10 @@
 
 
 class RegionLease:
-    """Appends what the lease of a region needs.
+    """Appends the records that claim, renew and release the lease.
 
     Attributes:
-      stopping: whether this node has given the lease up for good
+      stopping: whether this node has released the lease for good
     """
 
     def __init__(
@@ -28,13 +28,13 @@
         writer: RecordWriter,
         events: RegionEvents,
     ) -> None:
-        """Start without a lease.
+        """Create a keeper without a lease.
 
         Args:
-          identity: who this node is in its region
+          identity: identity of this node in its region
           lease: the lease as this node knows it
-          writer: gives records of this process their identity
-          events: logs when the lease is won or lost
+          writer: assigns identities to the records of this process
+          events: logs when the lease is acquired or lost
         """
         self.stopping = False
         self._identity = identity
@@ -42,7 +42,7 @@
         self._writer = writer
         self._events = events
 
-    def keep(
+    def maintain(
         self,
         region: RegionState,
         appender: AppendTask,
@@ -50,21 +50,21 @@
         *,
         known: bool,
     ) -> None:
-        """Claim or renew the lease when it is time.
+        """Claim or renew the lease when that is due.
 
         Args:
           region: folded state of the region.
           appender: appends to the stream of the region.
-          now: present time in seconds.
+          now: current time in seconds.
           known: whether the stream was read up to its end.
         """
         if not self.stopping:
             step = self._lease.decide(now, known=known).step
-            self._take_step(step, region, appender, now)
+            self._perform_step(step, region, appender, now)
         self._events.record_lease(self._lease.holder.epoch, now)
 
-    def give_up(self, appender: AppendTask, now: float) -> None:
-        """Release the lease, and claim none any more."""
+    def release(self, appender: AppendTask, now: float) -> None:
+        """Release the lease and stop claiming it."""
         self.stopping = True
         if self._lease.may_act(now):
             epoch = self._lease.holder.epoch
@@ -73,7 +73,7 @@
             self._events.record_released(epoch)
         self._lease.holder.drop()
 
-    def _take_step(
+    def _perform_step(
         self,
         step: LeaseStep,
         region: RegionState,
--- a/chervilrock/tasks/region_messages.py
+++ b/chervilrock/tasks/region_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the region task, and what it is connected to."""
+"""Messages of the region task, and the tasks it is connected to."""
 
 import asyncio
 from collections.abc import Mapping
@@ -29,13 +29,13 @@
 
 
 class ReportWanted(NamedTuple):
-    """Somebody wants a report of the region."""
+    """Request for a report of the region."""
 
     reply: "asyncio.Future[RegionReport]"
 
 
 class LeaseGivenUp(NamedTuple):
-    """The node stops, so it gives the lease up."""
+    """Request to release the lease, since the node is stopping."""
 
     done: "asyncio.Future[None]"
 
@@ -55,11 +55,11 @@
 
 
 class ServingView(NamedTuple):
-    """What requests are routed by.
+    """State of the region by which requests are routed.
 
     Attributes:
-      endpoints: groups that may get requests, each for a while
-      finishing: groups that get none and finish what they have
+      endpoints: groups that may get requests, each up to a time limit
+      finishing: groups that get no new requests and finish the ones they have
       services: backend servers of plain services that are not leaving
       known: whether the region stream is known to this node
       holds_lease: whether this node controls the region
@@ -75,7 +75,7 @@
 
 
 class RegionIdentity(NamedTuple):
-    """Who this node is in its region."""
+    """Identity of this node in its region."""
 
     region: str
     node: str
@@ -100,7 +100,7 @@
 
 
 class RegionFacts(NamedTuple):
-    """What a node knows of its region at one moment.
+    """State of a region as a node knows it at one moment.
 
     Attributes:
       region: folded state of the region stream
--- a/chervilrock/tasks/region_meter.py
+++ b/chervilrock/tasks/region_meter.py
@@ -17,11 +17,11 @@
 
 INTERVAL_S = 5.0
 COUNTING_INTERVAL_S = 1.0
-"""Interval at the node that counts for the region."""
+"""Interval at the node that counts for the region, the controller."""
 
 
 class RegionSample(NamedTuple):
-    """State of a region to measure.
+    """State of a region at one measurement.
 
     Attributes:
       region: folded state of the region
@@ -29,7 +29,7 @@
       endpoints: groups that may get requests
       hosts: host list of the region, by name
       models: wanted models
-      counts: whether this node counts for the region, as the controller does
+      counts: whether this node counts for the region, which the controller does
     """
 
     region: RegionState
@@ -41,14 +41,14 @@
 
 
 class RegionMeter:
-    """Sets the gauges of a region, and counts over time.
+    """Sets the gauges of a region and counts downtime and stranded time.
 
-    What was found at one measurement is counted until the next one, so it
-    must be measured at every change of the serving groups.
+    The state of one measurement is counted until the next one, so a measurement
+    is needed at every change of the serving groups.
     """
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Start with nothing measured."""
+        """Create a meter without a measurement."""
         self._metrics = metrics
         self._measured_at = 0.0
         self._counts = False
@@ -56,12 +56,12 @@
         self._missing: dict[str, int] = {}
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is time to measure, also without a change."""
-        interval = COUNTING_INTERVAL_S if self._counts else INTERVAL_S
-        return now >= self._measured_at + interval
+        """Return whether a measurement is due even without a change."""
+        interval_s = COUNTING_INTERVAL_S if self._counts else INTERVAL_S
+        return now >= self._measured_at + interval_s
 
     def measure(self, sample: RegionSample, now: float) -> None:
-        """Count what held since the last measurement, and measure again."""
+        """Count the state since the last measurement and measure again."""
         if self._counts and sample.counts:
             self._count(now - self._measured_at)
         self._measured_at = now
@@ -79,10 +79,12 @@
         self._missing = count_missing_groups(sample.models, serving)
         self._set_gauges(sample.region)
 
-    def _count(self, elapsed: float) -> None:
-        self._metrics.stranded_accelerator_seconds.inc(self._stranded * elapsed)
+    def _count(self, elapsed_s: float) -> None:
+        self._metrics.stranded_accelerator_seconds.inc(
+            self._stranded * elapsed_s
+        )
         for model, count in self._missing.items():
-            self._metrics.count_downtime(model=model, seconds=count * elapsed)
+            self._metrics.count_downtime(model=model, seconds=count * elapsed_s)
 
     def _set_gauges(self, region: RegionState) -> None:
         phases = dict.fromkeys(GroupPhase, 0)
--- a/chervilrock/tasks/region_report.py
+++ b/chervilrock/tasks/region_report.py
@@ -25,7 +25,7 @@
       epoch: epoch in force
       controller: node that holds the lease, empty for none
       epoch_held: epoch that this node holds, 0 for none
-      upto: offset of the last record read
+      upto: offset of the last record that was read
     """
 
     known: bool
@@ -82,7 +82,7 @@
 def _report_group(
     group: Group, presence: PresenceTable, now: float
 ) -> GroupStatus:
-    """Return the group as it is, also when a spare came in without the log."""
+    """Return the current group, with spares that joined without the log."""
     group = presence.find_servable(group, now) or group
     return GroupStatus(
         group=group.name,
@@ -102,11 +102,11 @@
         data_centre=entry["data_centre"],
         domain=entry["domain"],
         accelerators=entry["accelerators"],
-        reason=_explain(entry, region),
+        reason=_explain_stranded(entry, region),
     )
 
 
-def _explain(entry: HostEntry, region: RegionState) -> str:
+def _explain_stranded(entry: HostEntry, region: RegionState) -> str:
     """Return why a host is in no serving group."""
     if entry["leaving"]:
         return "leaving"
--- a/chervilrock/tasks/region_views.py
+++ b/chervilrock/tasks/region_views.py
@@ -1,4 +1,4 @@
-"""The part of the region task that tells others what it knows."""
+"""The part of the region task that publishes its views."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -20,13 +20,13 @@
 from chervilrock.tasks.region_meter import RegionMeter, RegionSample
 
 
-class RegionPicture(NamedTuple):
-    """What a node knows of its region, whether it controls it or not.
+class ObservedRegion(NamedTuple):
+    """State of a region as any node knows it, also without control of it.
 
     Attributes:
       region: folded state of the region stream
       known: whether the stream is known
-      hosts: host list of the region by name; another object when it changed
+      hosts: host list of the region by name; a new object when it has changed
       services: backend servers of plain services that are not leaving
       models: wanted models
     """
@@ -39,7 +39,7 @@
 
 
 class RegionViews:
-    """Publishes what has changed, and measures it.
+    """Publishes and measures changes.
 
     Attributes:
       endpoints: groups that may get requests
@@ -53,13 +53,13 @@
         metrics: Metrics,
         events: RegionEvents,
     ) -> None:
-        """Start with nothing published.
+        """Create a publisher that has published nothing yet.
 
         Args:
           presence: evidence of the hosts
           lease: the lease as this node knows it
           metrics: metrics of the node
-          events: logs hosts that go and come
+          events: logs hosts that go missing or return
         """
         self.endpoints = EndpointTable(presence=presence)
         self._finishing = FinishingTable(presence=presence)
@@ -70,96 +70,98 @@
         self._meter = RegionMeter(metrics=metrics)
         self._probes = ProbePlan()
         self._view = ServingView()
-        self._loads: tuple[LoadTarget, ...] = ()
-        self._loads_key = (0, 0, 0)
+        self._load_targets: tuple[LoadTarget, ...] = ()
+        self._load_targets_key = (0, 0, 0)
 
-    def update(self, picture: RegionPicture, now: float) -> bool:
-        """Bring the endpoints up to date.
+    def update(self, observed: ObservedRegion, now: float) -> bool:
+        """Update the endpoints.
 
         Returns:
           Whether the evidence of a host or the groups for requests changed.
         """
         changed = self._presence.pop_changed()
         change = self.endpoints.update(
-            picture.region, picture.hosts, changed, now
+            observed.region, observed.hosts, changed, now
         )
-        self._note(picture, change, now)
+        self._record_change(observed, change, now)
         return bool(changed) or change.groups
 
-    def measure(self, picture: RegionPicture, now: float) -> None:
+    def measure(self, observed: ObservedRegion, now: float) -> None:
         """Measure group downtime and stranded accelerators."""
         sample = RegionSample(
-            region=picture.region,
+            region=observed.region,
             presence=self._presence,
             endpoints=self.endpoints,
-            hosts=picture.hosts,
-            models=picture.models,
+            hosts=observed.hosts,
+            models=observed.models,
             counts=self._lease.may_act(now),
         )
         self._meter.measure(sample, now)
 
     def publish(
-        self, picture: RegionPicture, ports: RegionPorts, now: float
+        self, observed: ObservedRegion, ports: RegionPorts, now: float
     ) -> None:
-        """Hand out a view that differs from the last one, and say what to ask.
+        """Publish a changed view and the changed targets of probes and loads.
 
         Args:
-          picture: what is known of the region.
+          observed: state of the region as this node knows it.
           ports: the tasks and mailboxes to write to.
-          now: present time in seconds.
+          now: current time in seconds.
         """
-        self._choose_loads(picture, ports)
+        self._publish_load_targets(observed, ports)
         wanted = self._probes.choose(
-            picture.region, self.endpoints, picture.hosts, now
+            observed.region, self.endpoints, observed.hosts, now
         )
         if wanted is not None:
             ports.probes.offer(wanted)
-        finishing = self._finishing.update(picture.region, picture.hosts, now)
+        finishing = self._finishing.update(observed.region, observed.hosts, now)
         view = ServingView(
-            endpoints=self.endpoints.endpoints if picture.known else (),
-            finishing=finishing if picture.known else (),
-            services=picture.services,
-            known=picture.known,
+            endpoints=self.endpoints.endpoints if observed.known else (),
+            finishing=finishing if observed.known else (),
+            services=observed.services,
+            known=observed.known,
             holds_lease=self._lease.may_act(now),
-            controller=_find_controller(picture.region),
+            controller=_find_controller(observed.region),
         )
         if view == self._view:
             return
         if view.holds_lease != self._view.holds_lease:
             self._metrics.lease_held.set(1 if view.holds_lease else 0)
-            self.measure(picture, now)
+            self.measure(observed, now)
         self._view = view
         for mailbox in ports.views:
             mailbox.offer(view)
 
-    def _note(
-        self, picture: RegionPicture, change: EndpointChange, now: float
+    def _record_change(
+        self, observed: ObservedRegion, change: EndpointChange, now: float
     ) -> None:
-        """Log and measure what has changed."""
+        """Log and measure changes."""
         if change.groups or change.expiries:
             broken = self.endpoints.list_broken()
             self._events.record_presence(broken, self._presence, now)
         if change.groups or self._meter.is_due(now):
-            self.measure(picture, now)
+            self.measure(observed, now)
 
-    def _choose_loads(self, picture: RegionPicture, ports: RegionPorts) -> None:
-        """Say whose load reports are wanted, when that has changed."""
-        region = picture.region
-        key = (id(region), region.upto, id(picture.hosts))
-        if key == self._loads_key:
+    def _publish_load_targets(
+        self, observed: ObservedRegion, ports: RegionPorts
+    ) -> None:
+        """Publish the groups whose load reports to read, when they change."""
+        region = observed.region
+        key = (id(region), region.upto, id(observed.hosts))
+        if key == self._load_targets_key:
             return
-        self._loads_key = key
-        leaders = (
-            _find_leader(group, picture.hosts)
+        self._load_targets_key = key
+        candidates = (
+            _find_load_target(group, observed.hosts)
             for group in region.groups.values()
         )
-        targets = tuple(one for one in leaders if one is not None)
-        if targets != self._loads:
-            self._loads = targets
+        targets = tuple(target for target in candidates if target is not None)
+        if targets != self._load_targets:
+            self._load_targets = targets
             ports.loads.offer(targets)
 
 
-def _find_leader(
+def _find_load_target(
     group: Group, hosts: Mapping[str, HostEntry]
 ) -> LoadTarget | None:
     entry = hosts.get(group.hosts[0])
--- a/test/tasks/driven_region.py
+++ b/test/tasks/driven_region.py
@@ -1,4 +1,4 @@
-"""A region task over model engines and a model log, moved on by a test."""
+"""A region task with simulated engines and log, stepped by a test."""
 
 import random
 from typing import Any
@@ -27,11 +27,11 @@
 from test.decisions.control.fakes import Engine, Log, STEP
 
 STREAM = "region.r"
-LIMIT_S = 3.0
+PRESENCE_LIMIT_S = 3.0
 
 
-class Unused:
-    """Stands for a client that a task gets and never calls here."""
+class UnusedClient:
+    """Client that a task receives and must not call."""
 
     def __getattr__(self, name):
         raise AssertionError(f"{name} was called")
@@ -41,12 +41,12 @@
     """A region of one node.
 
     Attributes:
-      now: present time in seconds
+      now: current time in seconds
       log: the stream of the region
       engines: model engines by host
-      unread: whether reads of the log bring nothing, yet do not fail
-      out: whether reads and appends fail
-      silent: hosts whose probes get no answer
+      reads_are_empty: whether reads of the log succeed without records
+      log_fails: whether reads and appends fail
+      unresponsive: hosts whose probes get no answer
       view: last view that the task published
       views: number of views published
     """
@@ -55,15 +55,15 @@
         self.now = 100.0
         self.log = Log()
         self.engines = {f"h{i}": Engine(f"h{i}", checks) for i in range(hosts)}
-        self.unread = self.out = False
-        self.silent: set[str] = set()
+        self.reads_are_empty = self.log_fails = False
+        self.unresponsive: set[str] = set()
         self.view: Any = None
         self.views = 0
         self.metrics = Metrics()
         self.start()
 
     def start(self):
-        """Begin as a new process, with the lease of the old one unknown."""
+        """Start a new process that does not know the lease of the old one."""
         writer = RecordWriter(node="n", incarnation=str(self.now))
         timing = LeaseTiming(lease_s=3.0, stagger_s=0.1)
         self.task = RegionTask(
@@ -74,14 +74,14 @@
                 writer=writer.writer,
                 generator=random.Random(1),
             ),
-            presence=PresenceTable(limit=LIMIT_S, now=self.now),
+            presence=PresenceTable(limit=PRESENCE_LIMIT_S, now=self.now),
             writer=writer,
             schedule=SnapshotSchedule(policy=SnapshotPolicy()),
             metrics=self.metrics,
             outages=OutageLog(metrics=self.metrics),
         )
         inbox = self.task.inbox
-        unused: Any = Unused()
+        unused: Any = UnusedClient()
         self.published: Mailbox[Any] = Mailbox()
         clock = self.task._clock
         self.ports = RegionPorts(
@@ -106,7 +106,7 @@
         self.task.inbox.offer(message)
 
     def list_hosts(self, leaving=()):
-        """Let the task read the host list."""
+        """Send the host list to the task."""
         entries = tuple(
             engine.entry(name in leaving)
             for name, engine in self.engines.items()
@@ -115,32 +115,32 @@
         self.task.inbox.offer(HostsListed(hosts, self.now))
 
     def run(self, steps):
-        """Let time pass."""
+        """Run a number of steps."""
         for _ in range(steps):
             self.step()
 
     def step(self):
-        """Let one step pass, in which everything is asked once."""
+        """Advance by one step, with one probe per engine and one read."""
         self.now += STEP
         for name, engine in self.engines.items():
             engine.step(self.now)
-            if name not in self.silent:
+            if name not in self.unresponsive:
                 self.probe(name)
         self.read()
-        self.turn()
+        self.handle_messages()
 
     def probe(self, name):
-        """Let the task have the answer of an engine."""
+        """Send the state of an engine to the task."""
         state = self.engines[name].state()
         self.task.inbox.offer(HostProbed(name, state, self.now, self.now))
 
-    def turn(self):
-        """Let the task take what waits, and answer what it asks for."""
+    def handle_messages(self):
+        """Let the task handle its messages, and answer its requests."""
         self.task.advance(self.ports)
         self.append()
         for request in self.ports.orders.inbox.receive_waiting():
             engine = self.engines[request.host]
-            if request.host not in self.silent:
+            if request.host not in self.unresponsive:
                 accepted = engine.take(request.order)
                 self.task.inbox.offer(
                     OrderAnswered(
@@ -157,11 +157,11 @@
             self.views += 1
 
     def read(self):
-        """Let the task read the log."""
-        if self.out:
+        """Send a page of the log to the task."""
+        if self.log_fails:
             error = PlatformError(PlatformErrorKind.OUTAGE, "out")
             self.task.inbox.offer(ReadFailed(STREAM, error, self.now))
-        elif not self.unread:
+        elif not self.reads_are_empty:
             page = self.log.read(self.position)
             if page.records:
                 start, self.position = self.position, page.records[-1][0] + 1
@@ -171,10 +171,10 @@
             self.task.inbox.offer(message)
 
     def append(self):
-        """Take the records of the task into the log."""
+        """Append the records of the task to the log."""
         records = self.ports.appender.inbox.receive_waiting()
         error = None
-        if self.out:
+        if self.log_fails:
             error = PlatformError(PlatformErrorKind.OUTAGE, "out")
         else:
             for record in records:
@@ -185,12 +185,12 @@
             )
 
     def list_kinds(self):
-        """Return the kinds of the records but for the lease."""
+        """Return the kinds of the records, except those of the lease."""
         kinds = [str(stored.record.kind) for stored in self.log.stored]
         return [kind for kind in kinds if not kind.startswith("controller")]
 
-    def served(self):
-        """Return the hosts of each group that requests may use now."""
+    def list_served(self):
+        """Return the endpoints that requests may use now, by group."""
         return {
             timed.endpoint.group: timed.endpoint
             for timed in self.view.endpoints
--- a/test/tasks/test_loads.py
+++ b/test/tasks/test_loads.py
@@ -20,19 +20,19 @@
 
 
 class Engines:
-    """Engines of which one never answers."""
+    """Engines, one of which never answers."""
 
     def __init__(self):
-        self.asked = []
+        self.queried = []
 
     async def read_load(self, address):
-        self.asked.append(address)
+        self.queried.append(address)
         if address == "silent:1":
             await asyncio.Event().wait()
         return Success(LOAD)
 
 
-def test_engine_that_never_answers_holds_up_no_other():
+def test_engine_that_never_answers_does_not_delay_the_others():
     async def check():
         engines: Any = Engines()
         outbox: Mailbox[Any] = Mailbox()
@@ -48,8 +48,8 @@
         running = asyncio.create_task(task.run())
         reports = [await outbox.receive() for _ in range(3)]
         running.cancel()
-        assert_that({one.group for one in reports}, Equals({"b"}))
+        assert_that({report.group for report in reports}, Equals({"b"}))
         assert_that(reports[0].reported_at, Equals(9.5))
-        assert_that(engines.asked.count("silent:1"), Equals(1))
+        assert_that(engines.queried.count("silent:1"), Equals(1))
 
     asyncio.run(check())
--- a/test/tasks/test_mailbox.py
+++ b/test/tasks/test_mailbox.py
@@ -6,14 +6,14 @@
 from chervilrock.tasks.mailbox import Mailbox
 
 
-def test_cancellation_together_with_a_message_ends_the_task():
+def test_cancellation_that_coincides_with_a_message_ends_the_task():
     async def check():
         mailbox: Mailbox[str] = Mailbox()
-        rounds: list[str | None] = []
+        received: list[str | None] = []
 
         async def work():
             while True:
-                rounds.append(await mailbox.receive_within(3600))
+                received.append(await mailbox.receive_within(3600))
 
         task = asyncio.create_task(work())
         await asyncio.sleep(0)
@@ -22,13 +22,13 @@
         for _ in range(10):
             await asyncio.sleep(0)
         assert_that(task.done(), Equals(True))
-        assert_that(len(rounds), Equals(0))
+        assert_that(len(received), Equals(0))
         assert_that(await mailbox.receive(), Equals("message"))
 
     asyncio.run(check())
 
 
-def test_cancellation_right_after_a_message_was_taken_ends_the_task():
+def test_cancellation_right_after_a_message_is_received_ends_the_task():
     async def check():
         mailbox: Mailbox[str] = Mailbox()
 
@@ -50,7 +50,7 @@
     asyncio.run(check())
 
 
-def test_wait_without_a_message_ends_with_none():
+def test_timeout_without_a_message_returns_none():
     async def check():
         mailbox: Mailbox[str] = Mailbox()
         message = await mailbox.receive_within(0)
--- a/test/tasks/test_region_control.py
+++ b/test/tasks/test_region_control.py
@@ -9,7 +9,7 @@
 
 
 def make_document(**groups):
-    """Return models of two hosts a group; the model a wants a spare."""
+    """Return models with two hosts per group; model a wants a spare."""
     models = tuple(
         ModelSpec(
             name=name,
@@ -25,45 +25,45 @@
 
 @pytest.fixture
 def region():
-    """A region whose one group serves and has a spare."""
+    """A region with one serving group that has a spare."""
     driven = DrivenRegion(hosts=4)
     driven.apply(make_document(a=1))
     driven.run(20)
-    assert_that(driven.served(), HasLength(1))
+    assert_that(driven.list_served(), HasLength(1))
     assert_that(driven.list_kinds()[-1], Equals("spares-granted"))
     return driven
 
 
-def test_spare_is_taken_back_for_a_group_that_is_wanted(region):
+def test_spare_is_released_for_a_wanted_group(region):
     region.apply(make_document(a=1, b=1), revision=2)
     region.run(20)
-    assert_that(region.served(), HasLength(2))
+    assert_that(region.list_served(), HasLength(2))
 
 
-def test_group_is_not_asked_for_again_while_its_grant_is_under_way():
+def test_group_is_not_granted_twice_while_its_grant_is_in_progress():
     region = DrivenRegion(hosts=8)
     region.run(8)
     region.apply(make_document(a=2))
-    region.unread = True
+    region.reads_are_empty = True
     region.run(4)
     assert_that(region.list_kinds(), Equals(["group-granted"] * 2))
-    region.unread = False
+    region.reads_are_empty = False
     region.run(20)
     kinds = region.list_kinds()
     assert_that(kinds.count("group-granted"), Equals(2))
-    assert_that(region.served(), HasLength(2))
+    assert_that(region.list_served(), HasLength(2))
 
 
-def test_repair_is_not_asked_for_again_while_it_is_under_way(region):
-    (group,) = region.served().values()
+def test_group_is_not_repaired_twice_while_its_repair_is_in_progress(region):
+    (group,) = region.list_served().values()
     lost = next(name for name, engine in region.engines.items() if engine.shard)
-    region.silent.add(lost)
+    region.unresponsive.add(lost)
     before = len(region.list_kinds())
     while len(region.list_kinds()) == before:
         region.run(1)
-    region.unread = True
+    region.reads_are_empty = True
     region.run(4)
     assert_that(region.list_kinds()[before:], Equals(["group-repaired"]))
-    region.unread = False
+    region.reads_are_empty = False
     region.run(20)
-    assert_that(list(region.served()), Equals([group.group]))
+    assert_that(list(region.list_served()), Equals([group.group]))
--- a/test/tasks/virtual_time.py
+++ b/test/tasks/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only while nothing is left to do."""
+"""An event loop whose clock advances only while no callback is ready."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,21 +11,21 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop that jumps to the next timer instead of waiting for it."""
+    """An event loop that jumps to the next timer instead of waiting."""
 
     def __init__(self) -> None:
         self._now = START_S
-        super().__init__(_JumpingSelector(self))
+        super().__init__(_AdvancingSelector(self))
 
     def time(self) -> float:
         return self._now
 
-    def jump(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self._now += seconds
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Moves the time of its loop on by what it would have waited."""
+class _AdvancingSelector(selectors.SelectSelector):
+    """Advances the clock of its loop by the timeout instead of waiting."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__()
@@ -33,13 +33,13 @@
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise AssertionError("nothing will ever happen")
+            raise AssertionError("event loop waits without a timer")
         if timeout > 0:
-            self._loop.jump(timeout)
+            self._loop.advance(timeout)
         return super().select(0)
 
 
-def run_virtually(work: Coroutine[Any, Any, _T]) -> _T:
-    """Run a coroutine to its end in a loop of its own."""
+def run_virtually(coroutine: Coroutine[Any, Any, _T]) -> _T:
+    """Run a coroutine to completion in a virtual-time loop of its own."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(work)
+        return runner.run(coroutine)
