--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -1,4 +1,4 @@
-"""One completion request from its admission to the end of its answer."""
+"""Runs a completion request from admission to the end of its answer."""
 
 from chervilrock.decisions.requests import attempts
 from chervilrock.decisions.requests.attempts import Send, SendMode, SendReport
@@ -15,7 +15,7 @@
 from chervilrock.edges.observer import SendObserver
 from chervilrock.edges.path import RequestPath
 from chervilrock.edges.relay import Transfer
-from chervilrock.edges.runs import BackendRun, CANCELLED, COMPLETE, RunEnd
+from chervilrock.edges.runs import BackendRun, CANCELLED, COMPLETE, RunResult
 from chervilrock.edges.sinks import AnswerHead, AnswerSink
 
 STREAM_HEAD = AnswerHead(
@@ -31,13 +31,13 @@
 )
 
 _NEW_RUNS = (attempts.TryElsewhere, attempts.ContinueElsewhere)
-_RUNNING_ENDS = frozenset(
+_MAYBE_RUNNING_ENDS = frozenset(
     {AttemptEnd.LOST, AttemptEnd.BROKEN, AttemptEnd.FOREIGN}
 )
 
 
 class CompletionRun(BackendRun):
-    """Runs a completion at one replica group, or at several in turn."""
+    """Runs a completion on one replica group, or on several in turn."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         engine_path: str,
         sink: AnswerSink,
     ) -> None:
-        """Makes a run that has not begun.
+        """Creates a run that has not started.
 
         Args:
           path: request path of the node.
-          view: what the decisions know of the request.
-          call: what the body says.
-          engine_path: path of the request at the engine.
-          sink: takes the answer.
+          view: the request as routing and admission see it.
+          call: parsed body of the request.
+          engine_path: path of the request on the engine.
+          sink: receives the answer.
         """
         super().__init__(path=path, view=view, sink=sink)
         self._call = call
@@ -67,7 +67,7 @@
         self._endpoint: Endpoint | None = None
         self._receiver: EngineReceiver | None = None
         self._position = 0
-        self._after = 0
+        self._send_start = 0
         self._progress = progress.Progress()
 
     def count_tokens(self) -> int:
@@ -81,27 +81,31 @@
     def check_transfer(self, transfer: Transfer, now: float) -> None:
         """See base class."""
         if self._endpoint is not None and not transfer.held_back:
-            tokens = self._position - self._after
+            tokens = self._position - self._send_start
             self._observer.record_progress(self._endpoint, tokens, now)
-        silence = self._progress.measure_silence(
+        stall_s = self._progress.measure_silence(
             self._position, transfer.paused, now
         )
-        if self._is_stuck(silence):
+        if self._is_stalled(stall_s):
             transfer.abandon()
 
-    def _is_stuck(self, silence: float) -> bool:
-        """Tells whether a send without news for a while is given up."""
+    def _is_stalled(self, stall_s: float) -> bool:
+        """Returns whether a send without progress for this time is given up.
+
+        Args:
+          stall_s: time in seconds without progress.
+        """
         receiver = self._receiver
         if isinstance(receiver, StreamReceiver):
             done = receiver.positions.done
-            if progress.is_broken(self._position, done, silence):
+            if progress.is_broken(self._position, done, stall_s):
                 return True
-        if silence <= progress.GROUP_LOST_S or self._endpoint is None:
+        if stall_s <= progress.GROUP_LOST_S or self._endpoint is None:
             return False
         return not self._path.holds(self._endpoint)
 
-    async def run_admitted(self) -> RunEnd:
-        """Sends the request until its answer is whole or it is given up."""
+    async def run_admitted(self) -> RunResult:
+        """See base class."""
         decision: attempts.Decision = attempts.TryElsewhere(frozenset())
         mode = SendMode.START
         while True:
@@ -119,7 +123,7 @@
                 )
             send = self._tracker.begin(endpoint.group, mode)
             end = await self._send(endpoint, send)
-            if self._left:
+            if self._cancelled:
                 self._cancel(endpoint, send, end)
                 return CANCELLED
             decision = self._decide(endpoint, send, end)
@@ -133,7 +137,7 @@
         view = self.view
         endpoints = self._context.endpoints(view.model, view.adapter, now)
         if self._position > 0 and self._endpoint is not None:
-            # The rest of an answer has to come from the same weights.
+            # The rest of an answer must come from the same weights.
             endpoints = tuple(
                 endpoint
                 for endpoint in endpoints
@@ -153,10 +157,10 @@
         return chosen
 
     async def _send(self, endpoint: Endpoint, send: Send) -> AttemptEnd:
-        """Sends the request once and waits for the end of the answer."""
+        """Sends the request once and waits for the end of its answer."""
         now = self._context.now()
         self._endpoint = endpoint
-        self._after = self._position
+        self._send_start = self._position
         self._target = endpoint.group
         self._progress.restart(now)
         receiver = self._make_receiver(endpoint, send)
@@ -170,7 +174,7 @@
                 send=send,
                 path=self._engine_path,
                 body=self._call.body,
-                kept_text=self._read_text(send),
+                partial_text=self._read_partial_text(send),
                 now=now,
             ),
             receiver=receiver,
@@ -178,9 +182,9 @@
         self._receiver = receiver
         self._observer.record_sent(endpoint, now)
         end = receiver.judge(await self._transmit(transfer))
-        self._refusal = receiver.refusal
-        tokens = 0 if transfer.held_back else self._position - self._after
-        self._observer.record_end(endpoint, end, self._refusal, tokens)
+        self._error_reply = receiver.error_reply
+        tokens = 0 if transfer.held_back else self._position - self._send_start
+        self._observer.record_end(endpoint, end, self._error_reply, tokens)
         return end
 
     def _make_receiver(self, endpoint: Endpoint, send: Send) -> EngineReceiver:
@@ -196,22 +200,22 @@
             view=self.view, fence=endpoint.fence, send=send, stop=self._stop
         )
 
-    def _read_text(self, send: Send) -> str | None:
+    def _read_partial_text(self, send: Send) -> str | None:
         if send.mode is SendMode.START:
             return None
-        kept = self._read_kept()
-        return None if kept is None else kept.text
+        partial = self._read_partial()
+        return None if partial is None else partial.text
 
-    def _read_kept(self) -> PartialText | None:
+    def _read_partial(self) -> PartialText | None:
         return None if self._transcript is None else self._transcript.read()
 
     def _stop(self) -> None:
-        """Ends the transfer, since what comes is of no use."""
+        """See base class."""
         if self._transfer is not None:
             self._transfer.abandon()
 
     def _deliver(self, events: bytes) -> None:
-        """Passes whole events on; called from within libcurl."""
+        """Writes complete events to the sink; called from within libcurl."""
         if not self._sink.started:
             self._sink.start(STREAM_HEAD)
         if not self._observer.answered:
@@ -227,20 +231,20 @@
     def _decide(
         self, endpoint: Endpoint, send: Send, end: AttemptEnd
     ) -> attempts.Decision:
-        """Decides what follows the end of a send."""
+        """Decides the next step after a send has ended."""
         if end is AttemptEnd.COMPLETE:
             self._finish_answer()
             return attempts.Deliver()
         self._observer.record_broken(endpoint, end, self._position)
-        kept = self._read_kept() if self._position > 0 else None
-        if kept is not None and self._finish_text(kept):
+        partial = self._read_partial() if self._position > 0 else None
+        if partial is not None and self._finish_stream(partial):
             return attempts.Deliver()
         report = SendReport(
             number=send.number,
             end=end,
             position=self._position,
             target_has_attempt=self._path.holds(endpoint),
-            continuable=kept is not None,
+            continuable=partial is not None,
         )
         decision = self._tracker.finish(report, self._context.now())
         assert decision is not None
@@ -248,17 +252,19 @@
             return decision
         self._cancel(endpoint, send, end)
         if isinstance(decision, _NEW_RUNS):
-            may_retry = self._take_retry(end)
+            may_retry = self._acquire_retry(end)
             moves = self._position > 0 or not report.target_has_attempt
             if not may_retry and not moves:
                 return self._tracker.give_up()
         return decision
 
-    def _take_retry(self, end: AttemptEnd) -> bool:
-        """Asks the retry budget; what never left costs a backend nothing.
+    def _acquire_retry(self, end: AttemptEnd) -> bool:
+        """Returns whether the retry budget allows another send.
 
-        The budget counts all retries. It does not stop one that only moves
-        load from a lost group to another, such as the rest of a stream.
+        A send that never left the node does not count, because it puts no load
+        on a backend server. The budget counts all other retries. The caller of
+        this method ignores a denial for a retry that only moves load from a
+        lost group to another one, such as the rest of a stream.
         """
         if end is AttemptEnd.NOT_SENT:
             return True
@@ -271,9 +277,13 @@
         else:
             self._sink.finish()
 
-    def _finish_text(self, kept: PartialText) -> bool:
-        """Ends a broken stream of which only the last event is missing."""
-        if not kept.finished or self._call.wants_usage:
+    def _finish_stream(self, partial: PartialText) -> bool:
+        """Completes a broken stream that lacks only its last event.
+
+        Returns:
+          Whether the stream is complete now.
+        """
+        if not partial.finished or self._call.wants_usage:
             return False
         number = self._position + 1
         event = f"id: {self.view.request_id}/{number}\ndata: [DONE]\n\n"
@@ -282,13 +292,13 @@
         return True
 
     def _cancel(self, endpoint: Endpoint, send: Send, end: AttemptEnd) -> None:
-        """Frees the engine of an attempt that may still run."""
-        if end in _RUNNING_ENDS:
+        """Cancels an attempt that may still run on its engine."""
+        if end in _MAYBE_RUNNING_ENDS:
             self._path.cancel_attempt(endpoint.address, send.attempt)
 
 
 def choose_mode(decision: attempts.Decision) -> SendMode:
-    """Returns what the next send asks for."""
+    """Returns the mode of the next send."""
     if isinstance(decision, attempts.Resume):
         return SendMode.RESUME
     if isinstance(decision, attempts.ContinueElsewhere):
--- a/chervilrock/edges/dispatch.py
+++ b/chervilrock/edges/dispatch.py
@@ -1,4 +1,4 @@
-"""From a request of a caller to the run that answers it."""
+"""Validates requests of callers and prepares the runs that answer them."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 from chervilrock.edges.sinks import AnswerSink, Headers
 
 CHARS_PER_TOKEN = 4
-SERVICES_START = "/services/"
+SERVICES_PREFIX = "/services/"
 
 _SERVICE_COST_TOKENS = 1
 
@@ -29,14 +29,14 @@
     """A request as a caller sent it.
 
     Attributes:
-      request_id: identity that this node gave it.
+      request_id: identifier assigned by this node.
       method: HTTP method.
       target: path and query.
-      headers: all headers of a call of a plain service or with a key, else
-        none.
-      parsed: what the headers for this system say.
+      headers: all headers if the request calls a plain service or has an
+        idempotency key, else empty.
+      parsed: values of the headers that this system interprets.
       body: body.
-      deadline: time in seconds until which the caller waits.
+      deadline: time in seconds up to which the caller waits.
     """
 
     request_id: str
@@ -49,11 +49,11 @@
 
 
 class Prepared(NamedTuple):
-    """A request that was checked and can run.
+    """A validated request that is ready to run.
 
     Attributes:
-      view: what the decisions know of it.
-      make_run: makes its run, for a sink.
+      view: the request as routing and admission see it.
+      make_run: creates the run that writes the answer to a sink.
     """
 
     view: RequestView
@@ -63,16 +63,16 @@
 def prepare(
     path: RequestPath, request: CallerRequest
 ) -> Result[Prepared, CallerError]:
-    """Checks a request and finds out what it asks for.
+    """Validates a request and determines what it asks for.
 
     Args:
       path: request path of the node.
       request: the request.
 
     Returns:
-      The request ready to run, or why it cannot run.
+      The request ready to run, or the error that explains why it cannot run.
     """
-    if request.target.startswith(SERVICES_START):
+    if request.target.startswith(SERVICES_PREFIX):
         return _prepare_service(path, request)
     if request.method == "POST" and request.target == enginecalls.CHAT_PATH:
         return _prepare_completion(path, request, chat=True)
@@ -110,7 +110,7 @@
 def check_model(
     context: RequestContext, call: CompletionCall
 ) -> CallerError | None:
-    """Returns why a model or adapter cannot be used, or None."""
+    """Returns an error if the model or adapter does not exist, else None."""
     for spec in context.models():
         if spec["name"] != call.model:
             continue
@@ -125,7 +125,7 @@
 def make_completion_view(
     request: CallerRequest, call: CompletionCall
 ) -> RequestView:
-    """Returns what the decisions know of a completion."""
+    """Returns a completion as routing and admission see it."""
     parsed = request.parsed
     return RequestView(
         request_id=request.request_id,
@@ -168,23 +168,24 @@
 
 
 def split_service_target(target: str) -> tuple[str, str]:
-    """Splits the target of a call of a plain service.
+    """Splits the target of a call to a plain service.
 
     Args:
       target: `/services/NAME/PATH?QUERY`.
 
     Returns:
-      The name of the service, and the target for its backend server.
+      The name of the service, and the target to request from its backend
+      server.
     """
-    path, mark, query = target.removeprefix(SERVICES_START).partition("?")
+    path, separator, query = target.removeprefix(SERVICES_PREFIX).partition("?")
     name, _, rest = path.partition("/")
-    return unquote(name), f"/{rest}{mark}{query}"
+    return unquote(name), f"/{rest}{separator}{query}"
 
 
 def make_service_view(
     request: CallerRequest, name: str, idempotent_method: bool
 ) -> RequestView:
-    """Returns what the decisions know of a call of a plain service."""
+    """Returns a call to a plain service as routing and admission see it."""
     parsed = request.parsed
     may_retry = idempotent_method and parsed.idempotent is not False
     return RequestView(
--- a/chervilrock/edges/enginecalls.py
+++ b/chervilrock/edges/enginecalls.py
@@ -1,4 +1,4 @@
-"""Requests to model engines and their answers, streamed or whole."""
+"""Requests to model engines and their streamed or unstreamed answers."""
 
 import abc
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 from chervilrock.edges.heads import Head
 from chervilrock.edges.parsing import parse_count
 from chervilrock.edges.relay import BackendRequest, Receiver, TransferEnd
-from chervilrock.edges.runs import Refusal
+from chervilrock.edges.runs import ErrorReply
 
 CHAT_PATH = "/v1/chat/completions"
 TEXT_PATH = "/v1/completions"
@@ -30,20 +30,20 @@
 
 
 class _EngineError(msgspec.Struct):
-    """Error object of an engine."""
+    """Error object in the reply of an engine."""
 
     code: str | int | None = None
     message: str | None = None
 
 
 class _EngineErrorBody(msgspec.Struct):
-    """Body of an error of an engine."""
+    """Body of an error reply of an engine."""
 
     error: _EngineError
 
 
 class _WholeBody(msgspec.Struct):
-    """The part of a whole answer that shows whose it is, and its length."""
+    """Fields of an unstreamed answer that give its request and its length."""
 
     id: str
     usage: Any = None
@@ -61,20 +61,20 @@
     send: Send,
     path: str,
     body: bytes,
-    kept_text: str | None,
+    partial_text: str | None,
     now: float,
 ) -> BackendRequest:
-    """Makes the HTTP request for one send to an engine.
+    """Builds the HTTP request for one send to an engine.
 
     Args:
       view: the request.
-      endpoint: group that gets it.
+      endpoint: group that receives it.
       priority: priority for the engine, 0 (first) to 9.
-      send: what is asked for.
+      send: the send.
       path: path of the request.
       body: body of the caller.
-      kept_text: text that the caller has, None when it is not known.
-      now: present time.
+      partial_text: text that the caller already has, None if it is unknown.
+      now: current time in seconds.
     """
     headers = [
         ("Content-Type", "application/json"),
@@ -85,8 +85,8 @@
     ]
     if send.mode is SendMode.RESUME:
         headers.append(("Last-Event-ID", f"{view.request_id}/{send.after}"))
-    if send.mode is not SendMode.START and kept_text is not None:
-        body = add_continuation(body, send.after, kept_text)
+    if send.mode is not SendMode.START and partial_text is not None:
+        body = add_continuation(body, send.after, partial_text)
     return BackendRequest(
         method="POST",
         url=f"http://{endpoint.address}{path}",
@@ -98,18 +98,18 @@
 
 
 class EngineReceiver(Receiver):
-    """Takes the answer to one send and judges how it ended.
+    """Receives the answer to one send and classifies how it ended.
 
     Attributes:
-      refusal: what the engine said instead of an answer.
+      error_reply: error that the engine returned instead of an answer.
     """
 
     def __init__(self, *, view: RequestView, fence: int, send: Send) -> None:
-        """Waits for the answer to a send.
+        """Creates a receiver that waits for the answer to a send.
 
         Args:
           view: the request.
-          fence: fencing number that the request carried.
+          fence: fencing number that the request carries.
           send: the send.
         """
         self._expected = {
@@ -118,57 +118,59 @@
             ("x-fence", str(fence)),
         }
         self._head: Head | None = None
-        self._own = False
+        self._matches_send = False
         self._error_body = b""
-        self.refusal = Refusal()
+        self.error_reply = ErrorReply()
 
     def take_head(self, head: Head) -> None:
         """See base class."""
         self._head = head
         present = {(name.lower(), value) for name, value in head.headers}
-        self._own = head.status in _SUCCESSES and self._expected <= present
+        self._matches_send = (
+            head.status in _SUCCESSES and self._expected <= present
+        )
 
     def take_data(self, data: bytes) -> None:
         """See base class."""
-        if self._own:
+        if self._matches_send:
             self.take_answer(data)
         elif len(self._error_body) < MAX_ERROR_BYTES:
             self._error_body += data
 
     @abc.abstractmethod
     def take_answer(self, data: bytes) -> None:
-        """Takes bytes of the answer to this very send."""
+        """Handles bytes of an answer whose headers match this send."""
 
     @abc.abstractmethod
     def judge_answer(self, whole: bool) -> AttemptEnd:
-        """Tells how an answer to this very send ended.
+        """Returns how an answer whose headers match this send ended.
 
         Args:
           whole: whether the transfer ended without an error.
         """
 
     def judge(self, end: TransferEnd) -> AttemptEnd:
-        """Tells how the send ended."""
+        """Returns how the send ended."""
         if self._head is None:
             return AttemptEnd.LOST if end.sent else AttemptEnd.NOT_SENT
-        if self._own:
+        if self._matches_send:
             return self.judge_answer(not end.error)
         if self._head.status in _SUCCESSES:
             return AttemptEnd.FOREIGN
-        self.refusal = parse_refusal(self._head, self._error_body)
+        self.error_reply = parse_error_reply(self._head, self._error_body)
         judged = outcomes.judge_engine_answer(
             self._head.status,
             not_run_header=has_not_run_header(self._head),
-            code=self.refusal.code,
+            code=self.error_reply.code,
         )
         return outcomes.judge_attempt_end(judged, repeated=end.repeated)
 
 
 class StreamReceiver(EngineReceiver):
-    """Passes the events of an answer on as they come.
+    """Forwards the events of a streamed answer as they arrive.
 
     Attributes:
-      positions: places of the events.
+      positions: checks and counts the positions of the events.
     """
 
     def __init__(
@@ -180,14 +182,14 @@
         deliver: Callable[[bytes], None],
         stop: Callable[[], None],
     ) -> None:
-        """Waits for the answer to a send.
+        """Creates a receiver that waits for the answer to a send.
 
         Args:
           view: the request.
-          fence: fencing number that the request carried.
+          fence: fencing number that the request carries.
           send: the send.
-          deliver: takes whole events for the caller.
-          stop: ends the transfer, since its events are of no use.
+          deliver: receives complete events for the caller.
+          stop: ends the transfer when its events are unusable.
         """
         super().__init__(view=view, fence=fence, send=send)
         self._deliver = deliver
@@ -215,12 +217,12 @@
 
 
 class WholeReceiver(EngineReceiver):
-    """Keeps an answer until it is whole.
+    """Buffers an unstreamed answer until it is complete.
 
     Attributes:
       body: body of the answer.
-      tokens: tokens of the answer as the engine counts them, 0 when it does
-        not.
+      tokens: number of tokens that the engine reports for the answer, 0 if it
+        reports none.
     """
 
     def __init__(
@@ -231,13 +233,13 @@
         send: Send,
         stop: Callable[[], None],
     ) -> None:
-        """Waits for the answer to a send.
+        """Creates a receiver that waits for the answer to a send.
 
         Args:
           view: the request.
-          fence: fencing number that the request carried.
+          fence: fencing number that the request carries.
           send: the send.
-          stop: ends the transfer, since the answer is too large.
+          stop: ends the transfer when the answer is too large.
         """
         super().__init__(view=view, fence=fence, send=send)
         self._request_id = view.request_id
@@ -270,15 +272,15 @@
 
 
 def read_usage(usage: Any) -> int:
-    """Returns the tokens of an answer as an engine counts them, else 0."""
+    """Returns the token count that an engine reports for an answer, else 0."""
     if not isinstance(usage, dict):
         return 0
     tokens = usage.get("completion_tokens")
     return tokens if type(tokens) is int and tokens > 0 else 0
 
 
-def parse_refusal(head: Head, body: bytes) -> Refusal:
-    """Reads what an engine said instead of an answer."""
+def parse_error_reply(head: Head, body: bytes) -> ErrorReply:
+    """Parses the error that an engine returned instead of an answer."""
     code = ""
     message = ""
     try:
@@ -288,9 +290,9 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         message = ""
     retry_after = parse_count(head.find("retry-after")) or 0
-    return Refusal(head.status, code, message, float(retry_after))
+    return ErrorReply(head.status, code, message, float(retry_after))
 
 
 def has_not_run_header(head: Head) -> bool:
-    """Tells whether a backend server proves that it did nothing."""
+    """Returns whether a backend server guarantees that nothing was run."""
     return head.find("x-not-run") == "true"
--- a/chervilrock/edges/gate.py
+++ b/chervilrock/edges/gate.py
@@ -1,4 +1,4 @@
-"""Waits for the admission of requests."""
+"""Queueing of requests until they are admitted or rejected."""
 
 import asyncio
 
@@ -8,31 +8,31 @@
 
 
 class AdmissionGate:
-    """Holds the requests that the admission let wait.
+    """Suspends the requests that admission control has queued.
 
-    Every request that entered has to leave.
+    Every admitted request must be released.
     """
 
     def __init__(self, *, context: RequestContext) -> None:
-        """Makes a gate with nobody waiting.
+        """Creates a gate without waiting requests.
 
         Args:
-          context: node with the admission.
+          context: the node, which provides admission control.
         """
         self._context = context
         self._waiting: dict[str, asyncio.Future[verdicts.Rejected | None]] = {}
 
     @property
     def waiting(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     async def enter(self, request: RequestView) -> verdicts.Rejected | None:
         """Waits until a request is admitted or rejected.
 
         Returns:
-          None when it is admitted, else why not. A request that was withdrawn
-          meanwhile is rejected.
+          None if the request is admitted, else the rejection. A request that
+          is withdrawn while it waits is rejected.
         """
         verdict = self._context.admission.offer(request, self._context.now())
         if isinstance(verdict, verdicts.Admitted):
@@ -40,45 +40,45 @@
         if isinstance(verdict, verdicts.Rejected):
             return verdict
         self._reject(verdict.displaced)
-        decided: asyncio.Future[verdicts.Rejected | None]
-        decided = asyncio.get_running_loop().create_future()
-        self._waiting[request.request_id] = decided
-        return await decided
+        decision: asyncio.Future[verdicts.Rejected | None]
+        decision = asyncio.get_running_loop().create_future()
+        self._waiting[request.request_id] = decision
+        return await decision
 
     def leave(self, request_id: str, *, ok: bool, tokens: int) -> None:
-        """Gives the place of an admitted request to others.
+        """Releases the slot of an admitted request and admits waiting ones.
 
         Args:
-          request_id: identity of the request.
-          ok: whether it got its whole answer.
-          tokens: tokens of its answer.
+          request_id: identifier of the request.
+          ok: whether its answer is complete.
+          tokens: number of tokens of its answer.
         """
         now = self._context.now()
         admission = self._context.admission
         self._admit(admission.release(request_id, now, ok, tokens=tokens))
 
     def withdraw(self, request_id: str) -> None:
-        """Takes out a request that still waits, since its caller is gone."""
-        decided = self._waiting.pop(request_id, None)
-        if decided is None:
+        """Removes a waiting request whose caller has disconnected."""
+        decision = self._waiting.pop(request_id, None)
+        if decision is None:
             return
         self._context.admission.cancel(request_id, self._context.now())
         code = verdicts.RejectCode.DEADLINE
-        decided.set_result(verdicts.Rejected(request_id, code, 0.0))
+        decision.set_result(verdicts.Rejected(request_id, code, 0.0))
 
     def sweep(self, now: float) -> None:
-        """Rejects those that waited too long and admits those that can run."""
+        """Rejects requests that waited too long and admits any that can run."""
         self._reject(self._context.admission.expire(now))
         self._admit(self._context.admission.admit(now))
 
     def _admit(self, request_ids: tuple[str, ...]) -> None:
         for request_id in request_ids:
-            decided = self._waiting.pop(request_id, None)
-            if decided is not None:
-                decided.set_result(None)
+            decision = self._waiting.pop(request_id, None)
+            if decision is not None:
+                decision.set_result(None)
 
     def _reject(self, rejections: tuple[verdicts.Rejected, ...]) -> None:
         for rejected in rejections:
-            decided = self._waiting.pop(rejected.request_id, None)
-            if decided is not None:
-                decided.set_result(rejected)
+            decision = self._waiting.pop(rejected.request_id, None)
+            if decision is not None:
+                decision.set_result(rejected)
--- a/chervilrock/edges/observer.py
+++ b/chervilrock/edges/observer.py
@@ -1,4 +1,4 @@
-"""What routing, admission and metrics learn of the sends of a request."""
+"""Reports the sends of a request to routing, admission and metrics."""
 
 from chervilrock.decisions.requests.attempts import SendMode
 from chervilrock.decisions.requests.outcomes import AttemptEnd
@@ -8,7 +8,7 @@
     RequestView,
 )
 from chervilrock.edges.context import RequestContext
-from chervilrock.edges.runs import Refusal
+from chervilrock.edges.runs import ErrorReply
 from chervilrock.events import emit, Event
 from chervilrock.metrics import RetryKind
 
@@ -25,14 +25,14 @@
 
 
 class SendObserver:
-    """Hands on what happens to the sends of one completion.
+    """Reports the events of the sends of one completion.
 
     Attributes:
-      answered: whether the present send has given an event.
+      answered: whether the current send has returned an event.
     """
 
     def __init__(self, *, context: RequestContext, view: RequestView) -> None:
-        """Starts when the request has arrived.
+        """Creates an observer at the arrival of the request.
 
         Args:
           context: the node.
@@ -40,19 +40,19 @@
         """
         self._context = context
         self._view = view
-        self._arrived = context.now()
-        self._sent_at = self._arrived
-        self._first_seen = False
-        self._told_tokens = 0
+        self._arrived_at = context.now()
+        self._sent_at = self._arrived_at
+        self._first_token_seen = False
+        self._reported_tokens = 0
         self.answered = False
 
     def record_retry(self, mode: SendMode, group: str, position: int) -> None:
-        """Tells of a send beyond the first one, before it is sent.
+        """Records a send after the first one, before it is sent.
 
         Args:
-          mode: what it asks for.
-          group: group that gets it.
-          position: events that the caller has.
+          mode: mode of the send.
+          group: group that receives it.
+          position: number of events that the caller has received.
         """
         self._context.metrics.count_retry(_RETRY_KINDS[mode])
         event = _RETRY_EVENTS.get(mode)
@@ -65,58 +65,63 @@
             )
 
     def record_sent(self, endpoint: Endpoint, now: float) -> None:
-        """Tells of a send to a group."""
+        """Records a send to a group."""
         self._sent_at = now
-        self._told_tokens = 0
+        self._reported_tokens = 0
         self.answered = False
         self._context.policy.on_sent(self._view, endpoint, now)
 
     def record_first_token(self, endpoint: Endpoint) -> None:
-        """Tells of the first event of a send."""
+        """Records the first event of a send."""
         self.answered = True
         now = self._context.now()
         waited_s = now - self._sent_at
         self._context.policy.on_first_token(self._view, endpoint, now, waited_s)
-        if self._first_seen:
+        if self._first_token_seen:
             return
-        self._first_seen = True
+        self._first_token_seen = True
         self._context.admission.observe_first_token(
             self._view.request_id, endpoint.group, waited_s, now
         )
         self._context.metrics.observe_first_token(
-            model=self._view.model, seconds=now - self._arrived
+            model=self._view.model, seconds=now - self._arrived_at
         )
 
     def record_progress(
         self, endpoint: Endpoint, tokens: int, now: float
     ) -> None:
-        """Tells how many tokens of a send have come, if these are enough."""
-        if tokens - self._told_tokens < PROGRESS_TOKENS:
+        """Records the progress of a send after `PROGRESS_TOKENS` new tokens."""
+        if tokens - self._reported_tokens < PROGRESS_TOKENS:
             return
-        self._told_tokens = tokens
+        self._reported_tokens = tokens
         self._context.policy.on_progress(self._view, endpoint, now, tokens)
 
     def record_end(
-        self, endpoint: Endpoint, end: AttemptEnd, refusal: Refusal, tokens: int
+        self,
+        endpoint: Endpoint,
+        end: AttemptEnd,
+        error_reply: ErrorReply,
+        tokens: int,
     ) -> None:
-        """Tells of the end of a send.
+        """Records the end of a send.
 
         Args:
-          endpoint: group that had it.
+          endpoint: group that received it.
           end: how it ended.
-          refusal: what the engine said instead of an answer.
-          tokens: tokens that this send gave, 0 when their pace says nothing.
+          error_reply: error that the engine returned instead of an answer.
+          tokens: number of tokens from this send, 0 if their rate does not
+            reflect the speed of the group.
         """
         now = self._context.now()
         ok = end is AttemptEnd.COMPLETE
         self._context.policy.on_done(self._view, endpoint, now, ok, tokens)
-        if refusal.status == _STATUS_TOO_MANY_REQUESTS:
+        if error_reply.status == _STATUS_TOO_MANY_REQUESTS:
             self._context.admission.observe_overload(endpoint.group, now)
 
     def record_broken(
         self, endpoint: Endpoint, end: AttemptEnd, position: int
     ) -> None:
-        """Tells of a stream that broke after some events."""
+        """Records a stream that broke after at least one event."""
         if position > 0:
             emit(
                 Event.STREAM_BROKEN,
--- a/chervilrock/edges/once.py
+++ b/chervilrock/edges/once.py
@@ -1,4 +1,4 @@
-"""Runs that outlive their callers, and the repeats that join them."""
+"""Runs that outlive their callers, and the repeated requests that join them."""
 
 import asyncio
 from collections.abc import Callable, Hashable
@@ -17,8 +17,8 @@
 from chervilrock.edges.sinks import AnswerSink
 from chervilrock.generated.interfaces import Outcome
 
-Name = TypeVar("Name", bound=Hashable)
-Finish = Callable[[Outcome, RecordedAnswer | None], None]
+RunName = TypeVar("RunName", bound=Hashable)
+FinishCallback = Callable[[Outcome, RecordedAnswer | None], None]
 
 FORGOTTEN = CallerError(
     ErrorCode.TICKET_UNKNOWN,
@@ -44,42 +44,44 @@
 LEAVING = CallerError(ErrorCode.LEAVING, "this node is leaving")
 
 
-class OnceRuns(Generic[Name]):
-    """The runs in progress of requests that run only once."""
+class OnceRuns(Generic[RunName]):
+    """The runs in progress of requests that must run only once."""
 
     def __init__(self, *, path: RequestPath) -> None:
-        """Starts without runs.
+        """Creates a collection without runs.
 
         Args:
           path: request path of the node.
         """
         self._path = path
-        self._recordings: dict[Name, RecordingSink] = {}
+        self._recordings: dict[RunName, RecordingSink] = {}
 
-    def start(self, name: Name, prepared: Prepared, finish: Finish) -> None:
+    def start(
+        self, name: RunName, prepared: Prepared, finish: FinishCallback
+    ) -> None:
         """Starts a run.
 
         Args:
-          name: name under which it runs once.
-          prepared: the request, checked.
-          finish: is told what is known of the run at its end, and the whole
-            answer if it is kept.
+          name: ticket or key name for which the request runs only once.
+          prepared: the validated request.
+          finish: called at the end of the run with its outcome, and with the
+            complete answer if it is kept.
         """
         recording = RecordingSink()
         self._recordings[name] = recording
         self._path.start_task(self._run(name, prepared, recording, finish))
 
     async def follow(
-        self, name: Name, request: CallerRequest, sink: AnswerSink
+        self, name: RunName, request: CallerRequest, sink: AnswerSink
     ) -> None:
-        """Gives the answer of a run in progress to a caller."""
+        """Writes the answer of a run in progress to the sink of a caller."""
         recording = self._recordings[name]
         if not recording.follow(sink):
             fail(sink, FORGOTTEN)
             return
-        left = max(0.0, request.deadline - self._path.context.now())
+        remaining_s = max(0.0, request.deadline - self._path.context.now())
         try:
-            await asyncio.wait({recording.ended}, timeout=left)
+            await asyncio.wait({recording.ended}, timeout=remaining_s)
             if not recording.ended.done():
                 fail(sink, STILL_RUNNING)
         finally:
@@ -87,12 +89,12 @@
 
     async def _run(
         self,
-        name: Name,
+        name: RunName,
         prepared: Prepared,
         recording: RecordingSink,
-        finish: Finish,
+        finish: FinishCallback,
     ) -> None:
-        """Runs a request, whether or not its caller stays."""
+        """Runs a request to its end even if its caller disconnects."""
         outcome = Outcome.UNKNOWN
         try:
             with self._path.hold():
@@ -107,14 +109,14 @@
 
 
 def fingerprint(request: CallerRequest) -> int:
-    """Returns a number that tells a request apart from others."""
+    """Returns a number that identifies the content of a request."""
     return make_fingerprint(
         request.parsed.workspace, request.method, request.target, request.body
     )
 
 
 def replay(claim: Claim, sink: AnswerSink) -> None:
-    """Answers a repeat as the earlier run ended."""
+    """Answers a repeated request with the outcome of the earlier run."""
     if claim.answer is not None:
         recordings.replay(claim.answer, sink)
     elif claim.outcome is Outcome.FAILED:
@@ -124,7 +126,7 @@
 
 
 def fail(sink: AnswerSink, error: CallerError) -> None:
-    """Tells a caller with a ticket or key what is known of its request.
+    """Ends the answer to a caller with a ticket or key with an error.
 
     A repeat with the same ticket or key is always safe.
     """
--- a/chervilrock/edges/path.py
+++ b/chervilrock/edges/path.py
@@ -1,4 +1,4 @@
-"""What all requests of callers at a node share."""
+"""State shared by all requests of callers on a node."""
 
 import abc
 import asyncio
@@ -16,18 +16,18 @@
 from chervilrock.edges.relay import Transfer, TransferEnd
 
 SWEEP_INTERVAL_S = 0.25
-"""Time between two looks at the requests in progress, in seconds."""
+"""Interval between checks of the requests in progress, in seconds."""
 
-HANDLES = 64
-"""Transfers of one curl client; more of them get a further client."""
+TRANSFERS_PER_CLIENT = 64
+"""Transfers of one curl client; further transfers use another client."""
 
 MAX_TRANSFERS = 1 << 16
-"""Bound of the library; the admission bounds the requests."""
+"""Limit for the HTTP library; admission control limits the requests."""
 
 MAX_TRANSFER_BYTES = 1 << 40
-"""Bound of the library; bodies are bounded where they are kept."""
+"""Limit for the HTTP library; bodies are limited where they are buffered."""
 
-_UNSAFE = re.compile(r"[^A-Za-z0-9_-]")
+_UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_-]")
 
 
 class Run(abc.ABC):
@@ -40,19 +40,19 @@
 
     @abc.abstractmethod
     def count_tokens(self) -> int:
-        """Returns the tokens of the answer so far."""
+        """Returns the number of tokens of the answer so far."""
 
     @abc.abstractmethod
     def check(self, now: float) -> None:
-        """Looks whether the run still gets on."""
+        """Checks whether the run still makes progress."""
 
 
 class BodyReader(abc.ABC):
-    """A request whose body is still on its way."""
+    """A request whose body is not complete yet."""
 
     @abc.abstractmethod
     def check_body(self, now: float) -> None:
-        """Looks whether the body is late."""
+        """Checks whether the body has exceeded its time limit."""
 
 
 class RequestPath:
@@ -60,12 +60,12 @@
 
     Attributes:
       context: the node.
-      gate: where requests wait for their admission.
+      gate: lets requests wait for their admission.
       service_policy: chooses backend servers of plain services.
     """
 
     def __init__(self, *, context: RequestContext) -> None:
-        """Starts with no requests, for the running event loop.
+        """Creates a path without requests on the running event loop.
 
         Args:
           context: the node.
@@ -75,7 +75,7 @@
         self._curls = CurlPool(
             max_requests=MAX_TRANSFERS,
             max_body_size=MAX_TRANSFER_BYTES,
-            handles=HANDLES,
+            handles=TRANSFERS_PER_CLIENT,
         )
         self.service_policy: RoutingPolicy = LeastInFlight(
             rng=random.Random(f"{context.node_id}/{context.incarnation}")
@@ -83,73 +83,73 @@
         self._runs: set[Run] = set()
         self._bodies: set[BodyReader] = set()
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._sweeping = False
-        self._held = 0
+        self._sweep_scheduled = False
+        self._in_flight = 0
         self._sequence = 0
         name = f"{context.node_id}-{context.incarnation}"
-        self._id_start = _UNSAFE.sub("_", name)
+        self._request_id_prefix = _UNSAFE_CHARACTER.sub("_", name)
 
     @property
     def in_flight(self) -> int:
-        """Number of requests whose answer is not with its caller yet.
+        """Number of requests whose answer is not delivered yet.
 
         Runs that outlive their callers count as well.
         """
-        return self._held
+        return self._in_flight
 
     @property
     def open_bodies(self) -> int:
-        """Number of requests whose body is still on its way."""
+        """Number of requests whose body is not complete yet."""
         return len(self._bodies)
 
     @contextlib.contextmanager
     def hold(self) -> Iterator[None]:
-        """Counts a request as one in progress."""
-        self._held += 1
+        """Counts a request as in flight while the context is active."""
+        self._in_flight += 1
         try:
             yield
         finally:
-            self._held -= 1
+            self._in_flight -= 1
 
     def list_runs(self) -> tuple[Run, ...]:
         """Returns the requests in progress."""
         return tuple(self._runs)
 
     def make_request_id(self) -> str:
-        """Returns an identity that no other request of any node has."""
+        """Returns a request identifier that is unique across all nodes."""
         self._sequence += 1
-        return f"{self._id_start}-{self._sequence}"
+        return f"{self._request_id_prefix}-{self._sequence}"
 
     def add_run(self, run: Run) -> None:
-        """Looks after a run until it is removed."""
+        """Starts periodic checks of a run until it is removed."""
         self._runs.add(run)
-        self._sweep_later()
+        self._schedule_sweep()
 
     def remove_run(self, run: Run) -> None:
-        """Stops looking after a run."""
+        """Stops the checks of a run."""
         self._runs.discard(run)
 
     def await_body(self, reader: BodyReader) -> None:
-        """Looks after a request until its body has come."""
+        """Starts periodic checks of a request body that is being received."""
         self._bodies.add(reader)
-        self._sweep_later()
+        self._schedule_sweep()
 
     def forget_body(self, reader: BodyReader) -> None:
-        """Stops looking after the body of a request."""
+        """Stops the checks of a request body."""
         self._bodies.discard(reader)
 
-    def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Runs something that nobody waits for."""
-        task = asyncio.get_running_loop().create_task(work)
+    def start_task(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Runs a coroutine in the background."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel_attempt(self, address: str, attempt: str) -> None:
-        """Asks an engine to stop an attempt that nobody wants any more."""
+        """Requests an engine to stop an attempt that is no longer needed."""
         self.start_task(self.context.engine.cancel(address, attempt))
 
     def holds(self, endpoint: Endpoint) -> bool:
-        """Tells whether a group still works on what it was sent."""
+        """Returns whether a group still runs the attempts that it was sent."""
         return self.context.holds(endpoint, self.context.now())
 
     async def transmit(self, transfer: Transfer) -> TransferEnd:
@@ -161,17 +161,17 @@
         """Closes all connections to backend servers."""
         self._curls.close()
 
-    def _sweep_later(self) -> None:
-        if not self._sweeping:
-            self._sweeping = True
+    def _schedule_sweep(self) -> None:
+        if not self._sweep_scheduled:
+            self._sweep_scheduled = True
             loop = asyncio.get_running_loop()
             loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Looks at all requests in progress."""
-        self._sweeping = False
+        """Checks all requests in progress."""
+        self._sweep_scheduled = False
         if self._runs or self._bodies:
-            self._sweep_later()
+            self._schedule_sweep()
         now = self.context.now()
         self.gate.sweep(now)
         for run in self.list_runs():
--- a/chervilrock/edges/relay.py
+++ b/chervilrock/edges/relay.py
@@ -1,9 +1,9 @@
-"""HTTP requests to backend servers whose answers are read as they come.
+"""HTTP requests to backend servers with incrementally read answers.
 
-Built on the curl client of tornado. libcurl calls back right before it sends
-a request, so it is known of each transfer whether a byte can have left. A
-transfer that must be sent once uses a connection of its own and refuses a
-second send within libcurl.
+Built on the curl client of Tornado. libcurl invokes a callback right before it
+sends a request, so each transfer records whether a byte can have been sent. A
+transfer that must be sent at most once uses a connection of its own and aborts
+a second send by libcurl.
 """
 
 import abc
@@ -18,7 +18,7 @@
 from chervilrock.edges.heads import format_headers, Head, parse_head
 
 SEND_BUFFER_BYTES = 16 * 1024
-"""The least that libcurl takes; it holds the buffer for a whole transfer."""
+"""Minimum of libcurl, which keeps the buffer for the whole transfer."""
 
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
@@ -26,7 +26,7 @@
 _SEND_ABORT: int = pycurl.PREREQFUNC_ABORT
 _PAUSE: int = pycurl.WRITEFUNC_PAUSE
 _ABORT = -1
-_BROKEN = frozenset(
+_BROKEN_CONNECTION_ERRORS = frozenset(
     {
         pycurl.E_GOT_NOTHING,
         pycurl.E_PARTIAL_FILE,
@@ -34,7 +34,7 @@
         pycurl.E_SEND_ERROR,
     }
 )
-"""Errors of a connection that ended before the whole answer had come."""
+"""Errors of a connection that ended before the answer was complete."""
 
 _NO_SOCKET = -1
 
@@ -47,9 +47,9 @@
       url: URL with an IP address.
       headers: names and values of the headers.
       body: body, None for none.
-      timeout_s: longest time for the whole transfer in seconds.
+      timeout_s: timeout of the whole transfer in seconds.
       send_once: whether it must not be sent a second time.
-      connect_timeout_s: longest time to connect in seconds.
+      connect_timeout_s: timeout to connect in seconds.
     """
 
     method: str
@@ -62,31 +62,31 @@
 
 
 class Receiver(abc.ABC):
-    """Takes an answer while it comes; called from within libcurl.
+    """Receives an answer incrementally; called from within libcurl.
 
-    No method may raise or wait.
+    No method may raise or block.
     """
 
     @abc.abstractmethod
     def take_head(self, head: Head) -> None:
-        """Takes the head of the answer, once, before the first data."""
+        """Handles the head of the answer; called once, before any data."""
 
     @abc.abstractmethod
     def take_data(self, data: bytes) -> None:
-        """Takes the next bytes of the body."""
+        """Handles the next bytes of the body."""
 
 
 class TransferEnd(NamedTuple):
-    """How a transfer ended.
+    """Result of a transfer.
 
     Attributes:
-      sent: whether a byte of the request may have left.
-      head: head of the answer, None when none came.
-      error: why the answer is not whole, empty when it is.
+      sent: whether a byte of the request may have been sent.
+      head: head of the answer, None if none was received.
+      error: reason why the answer is incomplete, empty if it is complete.
       repeated: whether libcurl sent the request more than once, so that the
-        answer is only that to the last send.
-      is_broken: whether the backend server, or its host, ended the connection
-        before the whole answer had come.
+        answer belongs to the last send only.
+      is_broken: whether the backend server or its host ended the connection
+        before the answer was complete.
     """
 
     sent: bool
@@ -100,23 +100,23 @@
     """One request and its answer.
 
     Attributes:
-      sent: whether a byte of the request may have left.
-      head: head of the answer, None until it has come.
-      held_back: whether it was ever paused, so that its pace is not that of
+      sent: whether a byte of the request may have been sent.
+      head: head of the answer, None until it is received.
+      was_paused: whether it was ever paused, so that its speed is not that of
         the backend server.
     """
 
     def __init__(self, *, request: BackendRequest, receiver: Receiver) -> None:
-        """Makes a transfer that has not begun.
+        """Creates a transfer that has not started.
 
         Args:
           request: the request.
-          receiver: gets the answer.
+          receiver: receives the answer.
         """
         self._request = request
         self._receiver = receiver
         self._curl: pycurl.Curl | None = None
-        self._lines: list[bytes] = []
+        self._head_lines: list[bytes] = []
         self._paused = False
         self._abandoned = False
         self._in_callback = False
@@ -144,7 +144,9 @@
             )
             await client.fetch(http_request, raise_error=False)
         except CurlError as error:
-            is_broken = error.errno in _BROKEN and not self._abandoned
+            is_broken = (
+                error.errno in _BROKEN_CONNECTION_ERRORS and not self._abandoned
+            )
             return self._end(str(error), is_broken=is_broken)
         except (HTTPClientError, ValueError) as error:
             return self._end(str(error) or type(error).__name__)
@@ -154,7 +156,7 @@
 
     @property
     def paused(self) -> bool:
-        """Whether the answer is not read for now."""
+        """Whether reading of the answer is paused."""
         return self._paused
 
     def pause(self) -> None:
@@ -163,7 +165,7 @@
         self.held_back = True
 
     def resume(self) -> None:
-        """Goes on reading from the backend server."""
+        """Continues reading from the backend server."""
         if not self._paused:
             return
         self._paused = False
@@ -171,7 +173,7 @@
             self._unpause(self._curl)
 
     def abandon(self) -> None:
-        """Drops whatever comes from now on, and closes the connection."""
+        """Discards the rest of the answer and closes the connection."""
         if self._abandoned:
             return
         self._abandoned = True
@@ -180,7 +182,7 @@
             self._unpause(self._curl)
 
     def _end(self, error: str, *, is_broken: bool = False) -> TransferEnd:
-        self._take_lines()
+        self._parse_head_lines()
         return TransferEnd(
             sent=self.sent,
             head=self.head,
@@ -190,20 +192,20 @@
         )
 
     def _prepare(self, curl: pycurl.Curl) -> None:
-        """Sets the options that the client of tornado does not know."""
+        """Sets curl options that the client of Tornado does not support."""
         self._curl = curl
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.PATH_AS_IS, 1)
         curl.setopt(pycurl.UPLOAD_BUFFERSIZE, SEND_BUFFER_BYTES)
         curl.setopt(pycurl.HTTPHEADER, format_headers(self._request.headers))
         curl.setopt(pycurl.PREREQFUNCTION, self._record_send)
-        curl.setopt(pycurl.HEADERFUNCTION, self._lines.append)
+        curl.setopt(pycurl.HEADERFUNCTION, self._head_lines.append)
         curl.setopt(pycurl.WRITEFUNCTION, self._receive)
         if self._request.send_once:
             use_own_connection(curl)
 
     def _record_send(self, *_addresses: object) -> int:
-        """Called by libcurl right before it sends."""
+        """Records a send; called by libcurl right before it sends."""
         if self._abandoned or (self.sent and self._request.send_once):
             return _SEND_ABORT
         self._repeated = self.sent
@@ -211,7 +213,7 @@
         return _SEND_OK
 
     def _receive(self, data: bytes) -> int:
-        """Called by libcurl with bytes of the body."""
+        """Handles bytes of the body; called by libcurl."""
         if self._abandoned:
             return _ABORT
         if self._paused:
@@ -219,16 +221,16 @@
         self._in_callback = True
         try:
             if self.head is None:
-                self._take_lines()
+                self._parse_head_lines()
             self._receiver.take_data(data)
         finally:
             self._in_callback = False
         return _ABORT if self._abandoned else len(data)
 
-    def _take_lines(self) -> None:
-        """Hands on the head, when a final one has come."""
+    def _parse_head_lines(self) -> None:
+        """Passes the final head to the receiver once it is received."""
         if self.head is None:
-            self.head = parse_head(self._lines)
+            self.head = parse_head(self._head_lines)
             if self.head is not None and not self._abandoned:
                 self._receiver.take_head(self.head)
 
@@ -236,30 +238,30 @@
         try:
             curl.pause(pycurl.PAUSE_CONT)
         except pycurl.error:
-            # The transfer failed while it was paused; its end is reported
-            # where the client waits for it.
+            # The transfer failed while it was paused. The awaited fetch call
+            # reports the error.
             return
 
     def _shut_down(self, curl: pycurl.Curl) -> None:
-        """Closes the connection so that libcurl ends the transfer now."""
+        """Shuts the connection down so that libcurl ends the transfer now."""
         if not self.sent:
             return
-        number = curl.getinfo(pycurl.LASTSOCKET)
-        if number == _NO_SOCKET:
+        descriptor = curl.getinfo(pycurl.LASTSOCKET)
+        if descriptor == _NO_SOCKET:
             return
-        with socket.socket(fileno=os.dup(number)) as connection:
+        with socket.socket(fileno=os.dup(descriptor)) as connection:
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # The backend server was faster.
+                # The backend server has already closed the connection.
                 return
 
 
 def use_own_connection(curl: pycurl.Curl) -> None:
-    """Keeps a transfer off connections that served another one.
+    """Makes a transfer use a new connection that no other transfer reuses.
 
-    libcurl silently sends a request again when a connection that it reuses
-    turns out to be closed.
+    libcurl silently sends a request again if a reused connection turns out to
+    be closed.
     """
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
--- a/chervilrock/edges/runs.py
+++ b/chervilrock/edges/runs.py
@@ -1,4 +1,4 @@
-"""What runs of completions and of plain services have in common."""
+"""Base class for the runs of completions and of calls to plain services."""
 
 import abc
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 from chervilrock.metrics import RequestOutcome
 
 CALLER_STALL_S = 30.0
-"""Time that a caller may leave its answer unread."""
+"""Time that a caller may read nothing before its answer is aborted."""
 
 _CODES = {
     None: ErrorCode.NO_GROUP,
@@ -35,14 +35,14 @@
 }
 
 
-class Refusal(NamedTuple):
-    """What a backend server said instead of an answer.
+class ErrorReply(NamedTuple):
+    """An error that a backend server returned instead of an answer.
 
     Attributes:
-      status: HTTP status, 0 when there was no answer.
-      code: code of the error, empty when it gave none.
-      message: text of the error, empty when it gave none.
-      retry_after_s: time to wait that it asks for, 0 when it does not.
+      status: HTTP status, 0 if there was no reply.
+      code: error code, empty if the reply has none.
+      message: error message, empty if the reply has none.
+      retry_after_s: requested delay before a retry, 0 if the reply has none.
     """
 
     status: int = 0
@@ -51,38 +51,39 @@
     retry_after_s: float = 0.0
 
 
-class RunEnd(NamedTuple):
-    """How a request ended.
+class RunResult(NamedTuple):
+    """Result of a run.
 
     Attributes:
-      outcome: how it ended.
-      error: error that the caller got, None for a whole answer.
+      outcome: outcome of the request.
+      error: error sent to the caller, None for a complete answer or when the
+        caller has gone.
     """
 
     outcome: RequestOutcome
     error: CallerError | None
 
 
-CANCELLED = RunEnd(RequestOutcome.CANCELLED, None)
-COMPLETE = RunEnd(RequestOutcome.COMPLETE, None)
+CANCELLED = RunResult(RequestOutcome.CANCELLED, None)
+COMPLETE = RunResult(RequestOutcome.COMPLETE, None)
 
 
 class BackendRun(Run):
-    """Gets one whole answer to its caller, or an error that says the truth.
+    """Delivers one complete answer to its caller, or an accurate error.
 
     Attributes:
-      view: what the decisions know of the request.
+      view: the request as routing and admission see it.
     """
 
     def __init__(
         self, *, path: RequestPath, view: RequestView, sink: AnswerSink
     ) -> None:
-        """Makes a run that has not begun.
+        """Creates a run that has not started.
 
         Args:
           path: request path of the node.
-          view: what the decisions know of the request.
-          sink: takes the answer.
+          view: the request as routing and admission see it.
+          sink: receives the answer.
         """
         self.view = view
         self._path = path
@@ -95,16 +96,16 @@
         )
         self._transfer: Transfer | None = None
         self._target = ""
-        self._refusal = Refusal()
-        self._left = False
+        self._error_reply = ErrorReply()
+        self._cancelled = False
 
     @property
     def blocked(self) -> bool:
         """See base class."""
         return self._sink.blocked_since is not None
 
-    async def run(self) -> RunEnd:
-        """Runs the request to its end."""
+    async def run(self) -> RunResult:
+        """Runs the request to completion and records its metrics."""
         began = self._context.now()
         self._path.add_run(self)
         try:
@@ -125,8 +126,8 @@
         return end
 
     def leave(self) -> None:
-        """Stops the run, since nobody wants its answer any more."""
-        self._left = True
+        """Stops the run because its answer is no longer needed."""
+        self._cancelled = True
         self._path.gate.withdraw(self.view.request_id)
         self._stop()
 
@@ -135,24 +136,24 @@
         blocked_since = self._sink.blocked_since
         if blocked_since is not None and now - blocked_since > CALLER_STALL_S:
             self._sink.cut()
-        elif self._transfer is not None and not self._left:
+        elif self._transfer is not None and not self._cancelled:
             self.check_transfer(self._transfer, now)
 
     @abc.abstractmethod
     def check_transfer(self, transfer: Transfer, now: float) -> None:
-        """Looks whether the transfer still gets on."""
+        """Checks whether the transfer still makes progress."""
 
     @abc.abstractmethod
-    async def run_admitted(self) -> RunEnd:
-        """Sends the request until its answer is whole or it is given up."""
+    async def run_admitted(self) -> RunResult:
+        """Sends the request until its answer is complete or it is given up."""
 
-    async def _run_with_admission(self) -> RunEnd:
+    async def _run_with_admission(self) -> RunResult:
         rejected = await self._path.gate.enter(self.view)
         if rejected is not None:
             return self._reject(rejected)
         ok = False
         try:
-            end = CANCELLED if self._left else await self.run_admitted()
+            end = CANCELLED if self._cancelled else await self.run_admitted()
             ok = end is COMPLETE
             return end
         finally:
@@ -161,7 +162,7 @@
             )
 
     async def _transmit(self, transfer: Transfer) -> TransferEnd:
-        """Runs a transfer, held back while the caller reads too slowly."""
+        """Runs a transfer, paused while the caller reads too slowly."""
         self._transfer = transfer
         self._sink.attach(transfer)
         try:
@@ -171,12 +172,12 @@
             self._sink.attach(None)
 
     def _stop(self) -> None:
-        """Ends the transfer, since what comes is of no use."""
+        """Abandons the transfer because the rest of its answer is unusable."""
         if self._transfer is not None:
             self._transfer.abandon()
 
-    def _reject(self, rejected: Rejected) -> RunEnd:
-        if self._left:
+    def _reject(self, rejected: Rejected) -> RunResult:
+        if self._cancelled:
             return CANCELLED
         emit(
             Event.REQUEST_REJECTED,
@@ -192,8 +193,8 @@
         )
         return self._fail(error)
 
-    def _give_up(self, decision: GiveUp) -> RunEnd:
-        """Tells the caller what is known of the request."""
+    def _give_up(self, decision: GiveUp) -> RunResult:
+        """Sends the caller an error with the known outcome of the request."""
         error = self._make_error(decision)
         if error.outcome is Outcome.UNKNOWN:
             emit(
@@ -211,11 +212,11 @@
             code = ErrorCode.DEADLINE_EXCEEDED
         return CallerError(
             code=code,
-            message=self._refusal.message or _MESSAGES[decision.outcome],
+            message=self._error_reply.message or _MESSAGES[decision.outcome],
             outcome=decision.outcome,
-            retry_after_s=self._refusal.retry_after_s or None,
+            retry_after_s=self._error_reply.retry_after_s or None,
         )
 
-    def _fail(self, error: CallerError) -> RunEnd:
+    def _fail(self, error: CallerError) -> RunResult:
         self._sink.fail(error, may_retry=self.view.idempotent)
-        return RunEnd(RequestOutcome(error.outcome.value), error)
+        return RunResult(RequestOutcome(error.outcome.value), error)
--- a/chervilrock/edges/servicecalls.py
+++ b/chervilrock/edges/servicecalls.py
@@ -14,12 +14,12 @@
 from chervilrock.edges.heads import Head
 from chervilrock.edges.parsing import parse_count
 from chervilrock.edges.relay import BackendRequest, Receiver, TransferEnd
-from chervilrock.edges.runs import Refusal
+from chervilrock.edges.runs import ErrorReply
 from chervilrock.edges.sinks import AnswerHead, AnswerSink
 
-MAX_KEPT_BYTES = 1024 * 1024
-"""An answer up to this size is kept until it is whole; of a greater one the
-caller gets the parts as they come."""
+MAX_BUFFERED_BYTES = 1024 * 1024
+"""An answer up to this size is buffered until it is complete; a larger one is
+streamed to the caller."""
 
 EVENT_STREAM = "text/event-stream"
 
@@ -51,16 +51,16 @@
 OWN_ANSWER_HEADERS = frozenset(
     {"date", "server", "x-attempt-id", "x-node", "x-outcome", "x-request-id"}
 )
-_DEFAULTS_OF_LIBRARY = ("Accept", "Content-Type", "User-Agent")
-_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
+_LIBRARY_DEFAULT_HEADERS = ("Accept", "Content-Type", "User-Agent")
+_HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+_HEADER_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _NO_BODY_STATUSES = frozenset({204, 304})
 
 Headers = tuple[tuple[str, str], ...]
 
 
 class ServiceCall(NamedTuple):
-    """A call of a plain service.
+    """A call to a plain service.
 
     Attributes:
       method: HTTP method.
@@ -83,20 +83,20 @@
     send: Send,
     now: float,
 ) -> BackendRequest:
-    """Makes the HTTP request for one send to a backend server.
+    """Builds the HTTP request for one send to a backend server.
 
     Args:
       view: the request.
       call: the call.
       address: IP:port of the backend server.
-      send: what is asked for.
-      now: present time.
+      send: the send.
+      now: current time in seconds.
     """
     headers = copy_headers(call.headers, _OWN_REQUEST_HEADERS)
     present = {name.lower() for name, _ in headers}
-    for name in _DEFAULTS_OF_LIBRARY:
+    for name in _LIBRARY_DEFAULT_HEADERS:
         if name.lower() not in present:
-            # An empty value keeps the library from adding its own.
+            # An empty value stops Tornado and libcurl from adding a default.
             headers.append((name, ""))
     headers.append(("X-Request-Id", view.request_id))
     headers.append(("X-Attempt-Id", send.attempt))
@@ -113,11 +113,11 @@
 def copy_headers(
     headers: Iterable[tuple[str, str]], own: frozenset[str]
 ) -> list[tuple[str, str]]:
-    """Copies the headers that are for the other end.
+    """Copies the valid end-to-end headers.
 
     Args:
       headers: names and values.
-      own: names in lower case that this node sets itself.
+      own: lower-case names of the headers that this node sets itself.
     """
     headers = list(headers)
     dropped = own | _HOP_BY_HOP | list_connection_options(headers)
@@ -125,15 +125,15 @@
         (name, value)
         for name, value in headers
         if name.lower() not in dropped
-        and _NAME.fullmatch(name)
-        and _VALUE.fullmatch(value)
+        and _HEADER_NAME.fullmatch(name)
+        and _HEADER_VALUE.fullmatch(value)
     ]
 
 
 def list_connection_options(
     headers: Iterable[tuple[str, str]],
 ) -> frozenset[str]:
-    """Returns the names that the header Connection declares hop-by-hop."""
+    """Returns the header names that Connection declares as hop-by-hop."""
     options: set[str] = set()
     for name, value in headers:
         if name.lower() == "connection":
@@ -142,11 +142,11 @@
 
 
 class ServiceReceiver(Receiver):
-    """Takes the answer to one send and passes it on.
+    """Receives the answer to one send and forwards it to the caller.
 
     Attributes:
-      refusal: what the backend server said instead of an answer.
-      started: whether a part of the answer went to the caller.
+      error_reply: error that the backend server returned instead of an answer.
+      started: whether a part of the answer was forwarded to the caller.
     """
 
     def __init__(
@@ -157,30 +157,30 @@
         sink: AnswerSink,
         own_headers: frozenset[str] = OWN_ANSWER_HEADERS,
     ) -> None:
-        """Waits for the answer to a send.
+        """Creates a receiver that waits for the answer to a send.
 
         Args:
           method: HTTP method of the request.
-          expected: headers in lower case that have these values or are
-            missing in the answer to this very send.
-          sink: takes the answer.
-          own_headers: headers in lower case that are not passed on.
+          expected: lower-case header names and their values; an answer that
+            has another value for one of them does not belong to this send.
+          sink: receives the answer.
+          own_headers: lower-case names of headers that are not forwarded.
         """
         self._expected = expected
         self._own_headers = own_headers
         self._is_head = method == "HEAD"
         self._sink = sink
         self._head: Head | None = None
-        self._own = False
-        self._kept: list[bytes] = []
+        self._matches_send = False
+        self._buffered: list[bytes] = []
         self._size = 0
-        self.refusal = Refusal()
+        self.error_reply = ErrorReply()
         self.started = False
 
     def take_head(self, head: Head) -> None:
         """See base class."""
         self._head = head
-        self._own = all(
+        self._matches_send = all(
             head.find(name, value) == value for name, value in self._expected
         )
         if self._is_stream() and self._judge_head() is AttemptEnd.COMPLETE:
@@ -191,14 +191,14 @@
         if self.started:
             self._sink.write(data)
             return
-        self._kept.append(data)
+        self._buffered.append(data)
         self._size += len(data)
-        too_large = self._size > MAX_KEPT_BYTES
+        too_large = self._size > MAX_BUFFERED_BYTES
         if too_large and self._judge_head() is AttemptEnd.COMPLETE:
             self._start()
 
     def judge(self, end: TransferEnd) -> AttemptEnd:
-        """Tells how the send ended."""
+        """Returns how the send ended."""
         if self._head is None:
             return AttemptEnd.LOST if end.sent else AttemptEnd.NOT_SENT
         judged = self._judge_head()
@@ -207,21 +207,21 @@
         return judge_attempt_end(judged, repeated=end.repeated)
 
     def finish(self) -> None:
-        """Passes on what is kept of a whole answer, and its end."""
+        """Forwards the buffered rest of a complete answer and its end."""
         if self.started:
             self._sink.finish()
             return
         self.started = True
-        self._sink.answer(self._make_head(whole=True), b"".join(self._kept))
+        self._sink.answer(self._make_head(whole=True), b"".join(self._buffered))
 
     def _is_stream(self) -> bool:
         assert self._head is not None
-        kind = self._head.find("content-type")
-        return kind.partition(";")[0].strip().lower() == EVENT_STREAM
+        content_type = self._head.find("content-type")
+        return content_type.partition(";")[0].strip().lower() == EVENT_STREAM
 
     def _judge_head(self) -> AttemptEnd:
         assert self._head is not None
-        if not self._own:
+        if not self._matches_send:
             return AttemptEnd.FOREIGN
         head = self._head
         judged = judge_service_answer(
@@ -229,22 +229,24 @@
             not_run_header=head.find("x-not-run") == "true",
         )
         if judged is AttemptEnd.REFUSED:
-            delay = parse_count(head.find("retry-after")) or 0
-            self.refusal = Refusal(head.status, retry_after_s=float(delay))
+            delay_s = parse_count(head.find("retry-after")) or 0
+            self.error_reply = ErrorReply(
+                head.status, retry_after_s=float(delay_s)
+            )
         return judged
 
     def _start(self) -> None:
-        """Passes on what has come so far; the rest follows as it comes."""
+        """Forwards the buffered data and streams the rest as it arrives."""
         self.started = True
         self._sink.start(self._make_head(whole=False))
-        if self._kept:
-            self._sink.write(b"".join(self._kept))
-            self._kept.clear()
+        if self._buffered:
+            self._sink.write(b"".join(self._buffered))
+            self._buffered.clear()
 
     def _make_head(self, *, whole: bool) -> AnswerHead:
         assert self._head is not None
         headers = copy_headers(self._head.headers, self._own_headers)
-        length = self._find_length(whole)
+        length = self._find_content_length(whole)
         if length is not None:
             headers.append(("Content-Length", length))
         return AnswerHead(
@@ -253,8 +255,8 @@
             events=self._is_stream(),
         )
 
-    def _find_length(self, whole: bool) -> str | None:
-        """Returns the length to tell the caller, None when it is not known."""
+    def _find_content_length(self, whole: bool) -> str | None:
+        """Returns the Content-Length for the caller, None if it is unknown."""
         assert self._head is not None
         if self._head.status in _NO_BODY_STATUSES:
             return None
--- a/chervilrock/edges/services.py
+++ b/chervilrock/edges/services.py
@@ -1,4 +1,4 @@
-"""One call of a plain service from its admission to its answer."""
+"""Runs a call to a plain service from admission to its answer."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 from chervilrock.edges import servicecalls
 from chervilrock.edges.path import RequestPath
 from chervilrock.edges.relay import Transfer
-from chervilrock.edges.runs import BackendRun, CANCELLED, COMPLETE, RunEnd
+from chervilrock.edges.runs import BackendRun, CANCELLED, COMPLETE, RunResult
 from chervilrock.edges.servicecalls import ServiceCall, ServiceReceiver
 from chervilrock.edges.sinks import AnswerSink
 from chervilrock.generated.interfaces import ServiceEntry
@@ -17,10 +17,10 @@
 
 
 def make_endpoints(backends: Sequence[ServiceEntry]) -> tuple[Endpoint, ...]:
-    """Presents backend servers of a plain service as endpoints.
+    """Returns the backend servers of a plain service as endpoints.
 
-    The admission and the policies know a service as a model of this name and
-    each backend server as a group named by its address.
+    Admission control and routing policies treat a service as a model of the
+    same name, and each backend server as a group named by its address.
     """
     return tuple(
         Endpoint(
@@ -38,7 +38,7 @@
 
 
 class ServiceRun(BackendRun):
-    """Runs a call at one backend server, or at several in turn."""
+    """Runs a call on one backend server, or on several in turn."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         call: ServiceCall,
         sink: AnswerSink,
     ) -> None:
-        """Makes a run that has not begun.
+        """Creates a run that has not started.
 
         Args:
           path: request path of the node.
-          view: what the decisions know of the request; its model is the name
-            of the service.
+          view: the request as routing and admission see it; its model is the
+            name of the service.
           call: the call.
-          sink: takes the answer.
+          sink: receives the answer.
         """
         super().__init__(path=path, view=view, sink=sink)
         self._call = call
@@ -71,13 +71,13 @@
     def leave(self) -> None:
         """See base class.
 
-        A call that must not run twice is not cut while it runs: its caller
-        may ask for its effect later.
+        A call that must not run twice is not aborted while it runs, because
+        its caller may query its effect later.
         """
         if self.view.idempotent or self._transfer is None:
             super().leave()
 
-    async def run_admitted(self) -> RunEnd:
+    async def run_admitted(self) -> RunResult:
         """See base class."""
         decision: attempts.Decision = attempts.TryElsewhere(frozenset())
         while True:
@@ -92,7 +92,7 @@
             if self._tracker.sends:
                 self._context.metrics.count_retry(RetryKind.RETRY)
             decision = await self._send(endpoint)
-            if self._left:
+            if self._cancelled:
                 return CANCELLED
 
     def _choose(self, decision: attempts.TryElsewhere) -> Endpoint | None:
@@ -110,7 +110,7 @@
         return chosen
 
     async def _send(self, endpoint: Endpoint) -> attempts.Decision:
-        """Sends the call once and decides what follows."""
+        """Sends the call once and decides the next step."""
         send = self._tracker.begin(endpoint.group, SendMode.START)
         self._target = endpoint.group
         now = self._context.now()
@@ -137,7 +137,7 @@
         end = receiver.judge(await self._transmit(transfer))
         ok = end is AttemptEnd.COMPLETE
         policy.on_done(self.view, endpoint, self._context.now(), ok, 0)
-        self._refusal = receiver.refusal
+        self._error_reply = receiver.error_reply
         if ok:
             receiver.finish()
         return self._decide(send, end, receiver.started)
@@ -145,7 +145,7 @@
     def _decide(
         self, send: Send, end: AttemptEnd, started: bool
     ) -> attempts.Decision:
-        """Decides what follows the end of a send."""
+        """Decides the next step after a send has ended."""
         now = self._context.now()
         report = SendReport(number=send.number, end=end, position=int(started))
         decision = self._tracker.finish(report, now)
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -1,7 +1,7 @@
-"""Where the answer to a request goes.
+"""Sinks that receive the answer to a request.
 
 A run writes its answer to a sink. The sink of a caller that reads slowly
-holds back the transfer from the backend server.
+pauses the transfer from the backend server.
 """
 
 import abc
@@ -17,7 +17,7 @@
 from chervilrock.edges.relay import Transfer
 
 MAX_UNSENT_BYTES = 64 * 1024
-"""Bytes that wait for a slow caller before its transfer is held back."""
+"""Unsent bytes to a slow caller above which its transfer is paused."""
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -28,7 +28,7 @@
     Attributes:
       status: HTTP status.
       headers: names and values of the headers.
-      events: whether the body is a stream of events.
+      events: whether the body is an event stream.
     """
 
     status: int
@@ -37,10 +37,10 @@
 
 
 class AnswerSink(abc.ABC):
-    """Takes one answer: head, data, and an end.
+    """Receives one answer: a head, data and an end.
 
     Attributes:
-      started: whether the head was taken, so that no other can follow.
+      started: whether the head was written, so that no other can follow.
     """
 
     started = False
@@ -48,22 +48,22 @@
     @property
     @abc.abstractmethod
     def blocked_since(self) -> float | None:
-        """Time in seconds since which the caller reads too slowly."""
+        """Time in seconds since which the caller reads too slowly, or None."""
 
     @abc.abstractmethod
     def start(self, head: AnswerHead) -> None:
-        """Takes the head of the answer."""
+        """Writes the head of the answer."""
 
     @abc.abstractmethod
     def write(self, data: bytes) -> None:
-        """Takes bytes of the body."""
+        """Writes bytes of the body."""
 
     @abc.abstractmethod
     def finish(self) -> None:
-        """Ends the answer as a whole one."""
+        """Ends a complete answer."""
 
     def answer(self, head: AnswerHead, body: bytes) -> None:
-        """Takes a whole answer at once."""
+        """Writes a complete answer at once."""
         self.start(head)
         if body:
             self.write(body)
@@ -80,15 +80,15 @@
 
     @abc.abstractmethod
     def cut(self) -> None:
-        """Drops the rest of the answer, so that it is seen to be broken."""
+        """Drops the rest of the answer so that the caller can detect it."""
 
     @abc.abstractmethod
     def attach(self, transfer: Transfer | None) -> None:
-        """Names the transfer to hold back while too much is unsent."""
+        """Sets the transfer to pause while too much data is unsent."""
 
 
 def get_stream(handler: web.RequestHandler) -> IOStream:
-    """Returns the stream of the connection of a caller."""
+    """Returns the stream of a connection from a caller."""
     connection = handler.request.connection
     assert isinstance(connection, HTTP1Connection)
     return connection.stream
@@ -104,12 +104,12 @@
         request_id: str,
         now: Callable[[], float],
     ) -> None:
-        """Makes a sink for one answer.
+        """Creates a sink for one answer.
 
         Args:
           handler: handler of the request.
-          request_id: identity of the request.
-          now: gives the present time in seconds.
+          request_id: identifier of the request.
+          now: returns the current time in seconds.
         """
         self._handler = handler
         self._stream = get_stream(handler)
@@ -120,8 +120,8 @@
         self._unsent = 0
         self._closed = False
         self._blocked_since: float | None = None
-        self._ended: asyncio.Future[None] | None = None
-        self._gone: asyncio.Future[None] | None = None
+        self._finished: asyncio.Future[None] | None = None
+        self._disconnected: asyncio.Future[None] | None = None
 
     @property
     def blocked_since(self) -> float | None:
@@ -139,7 +139,7 @@
         for name, value in head.headers:
             self._handler.add_header(name, value)
         if head.events:
-            # Each event has to leave at once.
+            # Each event must be sent immediately.
             self._stream.set_nodelay(True)
 
     def write(self, data: bytes) -> None:
@@ -157,21 +157,21 @@
         """See base class."""
         if not self._closed:
             self._closed = True
-            self._ended = self._handler.finish()
+            self._finished = self._handler.finish()
 
     def answer(self, head: AnswerHead, body: bytes) -> None:
         """See base class."""
         if not self._closed:
             self.start(head)
             self._closed = True
-            self._ended = self._handler.finish(body or None)
+            self._finished = self._handler.finish(body or None)
 
     def fail(self, error: errors.CallerError, *, may_retry: bool) -> None:
         """See base class."""
         if self._closed:
             return
         if not self.started:
-            self._fail_early(error, may_retry)
+            self._send_error(error, may_retry)
         elif self._events:
             self.write(errors.make_event(error, self._request_id))
             self.finish()
@@ -184,29 +184,29 @@
         self._stream.close()
 
     async def drain(self, timeout_s: float) -> None:
-        """Waits until the caller has all of its answer.
+        """Waits until the complete answer is sent to the caller.
 
         Args:
           timeout_s: time in seconds after which the connection is closed.
         """
-        if self._ended is None or self._ended.done():
+        if self._finished is None or self._finished.done():
             return
-        # The library does not complete a write to a connection that closes.
-        self._gone = asyncio.get_running_loop().create_future()
+        # Tornado does not complete a write to a connection that closes.
+        self._disconnected = asyncio.get_running_loop().create_future()
         await asyncio.wait(
-            {self._ended, self._gone},
+            {self._finished, self._disconnected},
             timeout=timeout_s,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        if not self._ended.done():
+        if not self._finished.done():
             self.cut()
 
     def close(self) -> None:
-        """Takes note that the caller is gone."""
+        """Records that the caller has disconnected."""
         self._closed = True
-        if self._gone is not None and not self._gone.done():
-            self._gone.set_result(None)
-        self._release()
+        if self._disconnected is not None and not self._disconnected.done():
+            self._disconnected.set_result(None)
+        self._resume_transfer()
 
     def attach(self, transfer: Transfer | None) -> None:
         """See base class."""
@@ -215,10 +215,10 @@
             transfer.pause()
 
     def _count_unsent(self, size: int, flushed: "asyncio.Future[None]") -> None:
-        """Holds the transfer back once too much waits for the caller."""
+        """Pauses the transfer once too much data is unsent."""
         self._unsent += size
-        # The library completes only the future of the last write, and does so
-        # when any write before it is done.
+        # Tornado completes only the future of the last write, and does so when
+        # any write before it is done.
         flushed.add_done_callback(self._record_flushed)
         if self._unsent > MAX_UNSENT_BYTES and self._blocked_since is None:
             self._blocked_since = self._now()
@@ -226,27 +226,27 @@
                 self._transfer.pause()
 
     def _record_flushed(self, flushed: "asyncio.Future[None]") -> None:
-        """Goes on with the transfer once all is written."""
+        """Resumes the transfer once all data is written."""
         if flushed.exception() is not None:
             self.close()
         elif self._stream.writing():
             if not self._closed:
                 self._handler.flush().add_done_callback(self._record_flushed)
         else:
-            self._release()
+            self._resume_transfer()
 
-    def _release(self) -> None:
-        """Goes on with a transfer that was held back."""
+    def _resume_transfer(self) -> None:
+        """Resumes a paused transfer."""
         self._unsent = 0
         self._blocked_since = None
         if self._transfer is not None:
             self._transfer.resume()
 
-    def _fail_early(self, error: errors.CallerError, may_retry: bool) -> None:
+    def _send_error(self, error: errors.CallerError, may_retry: bool) -> None:
         self.started = True
         self._closed = True
         self._handler.set_status(error.status)
         for name, value in errors.make_headers(error, may_retry=may_retry):
             self._handler.set_header(name, value)
         body = errors.make_body(error, self._request_id)
-        self._ended = self._handler.finish(body)
+        self._finished = self._handler.finish(body)
