--- a/chervilrock/edges/relay.py
+++ b/chervilrock/edges/relay.py
@@ -18,7 +18,7 @@
 from chervilrock.edges.heads import format_headers, Head, parse_head
 
 SEND_BUFFER_BYTES = 16 * 1024
-"""Minimum of libcurl, which keeps the buffer for the whole transfer."""
+"""Smallest size that libcurl accepts; each transfer keeps one buffer."""
 
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -80,7 +80,7 @@
 
     @abc.abstractmethod
     def cut(self) -> None:
-        """Drops the rest of the answer so that the caller can detect it."""
+        """Drops the rest so that the caller can detect a broken answer."""
 
     @abc.abstractmethod
     def attach(self, transfer: Transfer | None) -> None:
