--- a/test/edges/raw.py
+++ b/test/edges/raw.py
@@ -1,10 +1,10 @@
-"""Bytes to and from a server, without a client library."""
+"""Raw HTTP requests over a socket, without a client library."""
 
 import asyncio
 
 
 async def exchange(address: str, data: bytes) -> bytes:
-    """Sends bytes and returns all that comes until the server closes."""
+    """Sends bytes and returns what arrives until the server closes."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, port)
     writer.write(data)
@@ -24,7 +24,10 @@
     headers: tuple[str, ...] = (),
     close: bool = True,
 ) -> bytes:
-    """Returns a request, after whose answer the server closes."""
+    """Returns the bytes of a request.
+
+    With `close`, the server closes the connection after its answer.
+    """
     lines = [f"{method} {path} HTTP/1.1", "Host: n", *headers]
     if body or method == "POST":
         lines.append(f"Content-Length: {len(body)}")
--- a/test/edges/sites.py
+++ b/test/edges/sites.py
@@ -63,22 +63,22 @@
 
 
 class KeyLog:
-    """The log of the keys, without a service."""
+    """The log of idempotency keys, in memory and without a log service."""
 
     def __init__(self) -> None:
         self.records: list[Record] = []
-        self.works = True
+        self.is_available = True
 
 
 class StaticContext(RequestContext):
-    """A node whose state a test sets."""
+    """A request context whose state is set by the test."""
 
     def __init__(self, *, node_id: str = "n1", incarnation: str = "i1") -> None:
         self.key_log = KeyLog()
         self.claims = KeyClaims(
             writer=RecordWriter(node=node_id, incarnation=incarnation)
         )
-        self._keys_read = 0
+        self._applied_count = 0
         self._node_id = node_id
         self._incarnation = incarnation
         self._admission = Admission(node=node_id, limits=LimitSpec())
@@ -173,23 +173,23 @@
         verdict = self.claims.claim(name, self.now())
         if verdict is not KeyVerdict.WAIT:
             return verdict
-        if not self.key_log.works:
+        if not self.key_log.is_available:
             (decision,) = self.claims.expire(self.now() + CLAIM_WAIT_S)
             return decision.verdict
-        decisions = self._settle_keys()
+        decisions = self._apply_key_records()
         return {each.name: each.verdict for each in decisions}[name]
 
     def finish_key(self, name: KeyName, outcome: str) -> None:
         self.claims.finish(name, outcome)
-        self._settle_keys()
+        self._apply_key_records()
 
-    def _settle_keys(self) -> list[KeyDecision]:
+    def _apply_key_records(self) -> list[KeyDecision]:
         self.key_log.records += self.claims.start_batch()
         self.claims.record_appended(ok=True)
         decisions = []
-        for record in self.key_log.records[self._keys_read :]:
-            self._keys_read += 1
-            stored = StoredRecord(self._keys_read, record)
+        for record in self.key_log.records[self._applied_count :]:
+            self._applied_count += 1
+            stored = StoredRecord(self._applied_count, record)
             decisions.append(self.claims.apply_record(stored))
         return [decision for decision in decisions if decision is not None]
 
@@ -200,7 +200,7 @@
 
 
 class Group:
-    """A replica group of engine stand-ins."""
+    """A replica group whose hosts run engine stand-ins."""
 
     def __init__(self, name: str, fence: int, fabric: Fabric) -> None:
         self.name = name
@@ -252,7 +252,10 @@
 
 
 class Site:
-    """One node, two groups and two backend servers of a plain service."""
+    """One entry node, two replica groups and two backend servers.
+
+    Both backend servers belong to the service `SERVICE`.
+    """
 
     def __init__(self, incarnation: str = "i1") -> None:
         self.context = StaticContext(incarnation=incarnation)
@@ -287,7 +290,7 @@
         )
         sockets = bind_sockets(0, "127.0.0.1", reuse_port=False)
         for listener in sockets:
-            # Small buffers, so that slow callers show early.
+            # With small buffers a slow caller blocks its stream early.
             listener.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES
             )
@@ -324,7 +327,7 @@
         )
 
     def count_runs(self) -> int:
-        """Returns how often any engine ran any request."""
+        """Returns the number of executions of requests on all engines."""
         return sum(
             sum(engine.executions.values())
             for group in self.groups
@@ -332,16 +335,16 @@
         )
 
     def count_arrivals(self) -> int:
-        """Returns how many requests reached any engine."""
+        """Returns the number of requests that reached the group leaders."""
         return sum(group.leader.arrivals for group in self.groups)
 
     def count_running(self) -> int:
-        """Returns how many attempts any engine still runs."""
+        """Returns the number of attempts that engines run or queue."""
         loads = [group.leader.read_load() for group in self.groups]
         return sum(load["running"] + load["waiting"] for load in loads)
 
     def count_calls(self) -> int:
-        """Returns how often any backend server ran any call."""
+        """Returns the number of executions of calls on backend servers."""
         return sum(sum(s.executions.values()) for s in self.services)
 
 
@@ -352,14 +355,19 @@
 
 
 def join_stream(body: bytes) -> str:
-    """Returns the text of a whole stream of events."""
+    """Returns the text of a complete stream of events.
+
+    Asserts that the stream is complete and its events are in order.
+    """
     texts = []
     events = body.split(b"\n\n")
-    assert events.pop() == b"", "the stream is cut"
-    assert events.pop().endswith(b"data: [DONE]"), "the stream is not whole"
+    assert events.pop() == b"", "the last event of the stream is truncated"
+    assert events.pop().endswith(b"data: [DONE]"), (
+        "the stream does not end with [DONE]"
+    )
     for number, event in enumerate(events, start=1):
-        identity, _, data = event.partition(b"\ndata: ")
-        assert identity.endswith(b"/%d" % number), "an event is out of place"
+        event_id, _, data = event.partition(b"\ndata: ")
+        assert event_id.endswith(b"/%d" % number), "an event is out of order"
         for choice in msgspec.json.decode(data)["choices"]:
             delta = choice.get("delta") or {}
             texts.append(choice.get("text") or delta.get("content") or "")
--- a/test/edges/test_bad_input.py
+++ b/test/edges/test_bad_input.py
@@ -38,17 +38,17 @@
 ]
 
 
-@pytest.mark.parametrize(("body", "places"), BAD_BODIES)
-def test_all_findings_are_told_at_once(
-    loop: asyncio.Runner, site: Site, body: Any, places: tuple[str, ...]
+@pytest.mark.parametrize(("body", "locations"), BAD_BODIES)
+def test_all_findings_are_reported_together(
+    loop: asyncio.Runner, site: Site, body: Any, locations: tuple[str, ...]
 ) -> None:
     headers = {"X-Priority": "5"}
     answer = loop.run(site.call("/v1/completions", body=body, headers=headers))
     error = msgspec.json.decode(answer.body)["error"]
     assert_that(answer.status, Equals(400))
     assert_that(error["outcome"], Equals("not_run"))
-    for place in places:
-        assert place in error["message"]
+    for location in locations:
+        assert location in error["message"]
     assert_that(site.count_arrivals(), Equals(0))
 
 
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(("name", "value"), BAD_HEADERS)
-def test_bad_header_is_refused(name: str, value: str) -> None:
+def test_bad_header_is_rejected(name: str, value: str) -> None:
     parsed = parse_headers({name: value})
     assert isinstance(parsed, Failure)
     (finding,) = parsed.failure()
@@ -111,7 +111,7 @@
         assert parsed.failure()
 
 
-def test_deep_json_is_refused() -> None:
+def test_deeply_nested_json_is_rejected() -> None:
     body = b'{"prompt":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     assert isinstance(parse_completion(body, chat=False), Failure)
 
@@ -148,7 +148,7 @@
     assert not {"host", "connection"} & {name.lower() for name, _ in copied}
 
 
-RAW = [
+UNUSUAL_REQUESTS = [
     (make_request("/v1/completions", b"{"), b"400", b"not_run"),
     (make_request("/v1/none", b"{}"), b"404", b"not_found"),
     (make_request("/none", method="GET"), b"404", b"not_found"),
@@ -183,26 +183,31 @@
 ]
 
 
-async def start_small_site() -> Site:
+async def start_site_with_body_limits() -> Site:
     site = Site()
     await site.start(BodyLimits(max_bytes=MAX_BYTES, timeout_s=0.05))
     return site
 
 
-@pytest.mark.parametrize(("request_bytes", "status", "part"), RAW)
-def test_odd_requests_get_clear_answers(
-    loop: asyncio.Runner, request_bytes: bytes, status: bytes, part: bytes
+@pytest.mark.parametrize(
+    ("request_bytes", "status", "expected_part"), UNUSUAL_REQUESTS
+)
+def test_unusual_requests_get_specific_answers(
+    loop: asyncio.Runner,
+    request_bytes: bytes,
+    status: bytes,
+    expected_part: bytes,
 ) -> None:
-    site = loop.run(start_small_site())
+    site = loop.run(start_site_with_body_limits())
     answer = loop.run(exchange(site.address, request_bytes))
     loop.run(site.stop())
     assert answer.startswith(b"HTTP/1.1 " + status)
-    assert part in answer
+    assert expected_part in answer
     assert_that(site.count_arrivals(), Equals(0))
 
 
-def test_slow_body_is_refused(loop: asyncio.Runner) -> None:
-    site = loop.run(start_small_site())
+def test_slow_body_is_rejected(loop: asyncio.Runner) -> None:
+    site = loop.run(start_site_with_body_limits())
     request = make_request("/v1/completions", b"x" * 100)[:-50]
     answer = loop.run(exchange(site.address, request))
     loop.run(site.stop())
--- a/test/edges/test_callers_page.py
+++ b/test/edges/test_callers_page.py
@@ -12,11 +12,11 @@
 from test.edges.sites import Site
 
 PAGE = Path(__file__).parents[2] / "docs" / "callers.md"
-OF_OPERATORS = {ErrorCode.LOG_UNAVAILABLE}
+OPERATOR_CODES = {ErrorCode.LOG_UNAVAILABLE}
 
 
-def read_client() -> str:
-    """Returns the example of a client that uses tickets."""
+def read_client_example() -> str:
+    """Returns the page's example of a client that uses tickets."""
     text = PAGE.read_text(encoding="utf-8")
     start = text.index("    import json\n")
     return textwrap.dedent(text[start : text.index("\n* Repeats", start)])
@@ -25,14 +25,14 @@
 @pytest.fixture
 def client(site: Site) -> dict[str, Any]:
     names: dict[str, Any] = {}
-    exec(compile(read_client(), str(PAGE), "exec"), names)
+    exec(compile(read_client_example(), str(PAGE), "exec"), names)
     names["NODES"] = [site.address]
     return names
 
 
 def test_page_explains_every_code() -> None:
     text = PAGE.read_text(encoding="utf-8")
-    for code in set(ErrorCode) - OF_OPERATORS:
+    for code in set(ErrorCode) - OPERATOR_CODES:
         (line,) = [
             line
             for line in text.splitlines()
@@ -51,7 +51,7 @@
         service.faults.add(
             FaultRule(kind=FaultKind.ANSWER_LATE, count=1, delay_ms=20)
         )
-    client["time"] = Sleepless()
+    client["time"] = InstantTime()
     answer = loop.run(call_in_thread(client["record_filing"], {"days": 14}))
     assert_that(answer["body"], Equals('{"days": 14}'))
     assert_that(site.count_calls(), Equals(1))
@@ -61,15 +61,15 @@
     return await asyncio.to_thread(function, *arguments)
 
 
-class Sleepless:
-    """Stands for the module `time` of the client."""
+class InstantTime:
+    """Replaces the client's `time` module, so that retries do not wait."""
 
     def sleep(self, _seconds: float) -> None:
-        """Goes on at once."""
+        """Returns at once."""
 
 
 def redirect(post: Any) -> Any:
-    """Sends calls for the service of the page to that of the tests."""
+    """Redirects calls from the service of the page to that of the tests."""
 
     def post_redirected(
         address: str, path: str, body: Any, **headers: str
--- a/test/edges/test_completions.py
+++ b/test/edges/test_completions.py
@@ -14,17 +14,17 @@
 
 TOKENS = 40
 EXPECTED = "".join(expected_text("m", "hello", TOKENS))
-ONCE = {"X-Idempotent": "false"}
+RUN_ONCE = {"X-Idempotent": "false"}
 
 
 def add_fault(site: Site, kind: FaultKind, **members: int) -> None:
-    """Makes every engine show a fault."""
+    """Adds a fault to the leader of each group."""
     for group in site.groups:
         rule = FaultRule(kind=kind, path="/v1/", **members)  # type: ignore[typeddict-item]
         group.leader.faults.add(rule)
 
 
-def slow_down(site: Site, token_ms: float) -> None:
+def set_token_time(site: Site, token_ms: float) -> None:
     for group in site.groups:
         for engine in group.engines:
             engine.options = engine.options._replace(token_ms=token_ms)
@@ -43,8 +43,8 @@
     assert_that(answer.headers["X-Node"], Equals("n1"))
 
 
-async def ask_with_model_client(site: Site) -> list[str]:
-    """Returns a whole answer, a streamed one and the names of all models."""
+async def call_with_model_client(site: Site) -> list[str]:
+    """Returns a plain answer, a streamed one and the names of all models."""
     url = f"http://{site.address}/v1"
     messages: list[ChatCompletionMessageParam] = [
         {"role": "user", "content": "hello"}
@@ -67,11 +67,11 @@
 
 def test_model_client_reads_answers(loop: asyncio.Runner, site: Site) -> None:
     expected = "".join(expected_text("m:a", "user: hello", TOKENS))
-    told = loop.run(ask_with_model_client(site))
-    assert_that(told, Equals([expected, expected, "m,m:a"]))
+    contents = loop.run(call_with_model_client(site))
+    assert_that(contents, Equals([expected, expected, "m,m:a"]))
 
 
-FAULTS_OF_EVENTS = [
+EVENT_FAULTS = [
     (FaultKind.REPEAT_EVENT, {}),
     (FaultKind.FOREIGN_EVENT, {}),
     (FaultKind.HOLD_EVENT, {}),
@@ -82,8 +82,8 @@
 ]
 
 
-@pytest.mark.parametrize(("kind", "members"), FAULTS_OF_EVENTS)
-@pytest.mark.parametrize("headers", [{}, ONCE])
+@pytest.mark.parametrize(("kind", "members"), EVENT_FAULTS)
+@pytest.mark.parametrize("headers", [{}, RUN_ONCE])
 def test_faults_of_events_never_change_a_whole_stream(
     loop: asyncio.Runner,
     site: Site,
@@ -129,7 +129,7 @@
 ) -> None:
     for group in site.groups:
         group.leader.faults.add(rule)
-    answer = loop.run(site.complete(ONCE, stream=stream, max_tokens=TOKENS))
+    answer = loop.run(site.complete(RUN_ONCE, stream=stream, max_tokens=TOKENS))
     error = read_error(answer)
     assert_that(answer.status, Equals(502))
     assert error["outcome"] in ("unknown", "failed")
@@ -138,30 +138,32 @@
     assert_that(site.count_arrivals(), Equals(1))
 
 
-def test_refusal_is_tried_elsewhere(loop: asyncio.Runner, site: Site) -> None:
+def test_rejected_request_is_sent_to_another_group(
+    loop: asyncio.Runner, site: Site
+) -> None:
     rule = FaultRule(kind=FaultKind.REFUSE, path="/v1/", count=1)
     for group in site.groups:
         group.leader.faults.add(rule)
-    answer = loop.run(site.complete(ONCE, max_tokens=TOKENS))
+    answer = loop.run(site.complete(RUN_ONCE, max_tokens=TOKENS))
     assert_that(answer.status, Equals(503))
     assert_that(read_error(answer)["outcome"], Equals("not_run"))
     assert_that(answer.headers["X-Should-Retry"], Equals("true"))
     assert_that(site.count_runs(), Equals(0))
-    answer = loop.run(site.complete(ONCE, max_tokens=TOKENS))
+    answer = loop.run(site.complete(RUN_ONCE, max_tokens=TOKENS))
     assert_that(answer.status, Equals(200))
     assert_that(site.count_runs(), Equals(1))
 
 
-def test_leader_of_another_fence_is_left_alone(
+def test_leader_with_another_fence_runs_nothing(
     loop: asyncio.Runner, site: Site
 ) -> None:
     stale = site.context.serving[0]._replace(fence=3)
     site.context.set_serving([stale, site.context.serving[1]])
     answers = [
-        loop.run(site.complete(ONCE, max_tokens=TOKENS)) for _ in range(4)
+        loop.run(site.complete(RUN_ONCE, max_tokens=TOKENS)) for _ in range(4)
     ]
-    told = {answer.status for answer in answers}
-    assert told <= {200, 503}
+    statuses = {answer.status for answer in answers}
+    assert statuses <= {200, 503}
     assert_that(
         site.count_runs(),
         Equals(sum(answer.status == 200 for answer in answers)),
@@ -171,20 +173,22 @@
 def test_dead_group_is_skipped(loop: asyncio.Runner, site: Site) -> None:
     site.groups[0].leader.kill()
     for _ in range(4):
-        answer = loop.run(site.complete(ONCE, max_tokens=TOKENS))
+        answer = loop.run(site.complete(RUN_ONCE, max_tokens=TOKENS))
         assert_that(answer.status, Equals(200))
     assert_that(site.count_runs(), Equals(4))
 
 
-def test_no_group_is_told_at_once(loop: asyncio.Runner, site: Site) -> None:
+def test_missing_groups_are_reported_at_once(
+    loop: asyncio.Runner, site: Site
+) -> None:
     for group in site.groups:
         group.leader.kill()
-    answer = loop.run(site.complete(ONCE, max_tokens=TOKENS))
+    answer = loop.run(site.complete(RUN_ONCE, max_tokens=TOKENS))
     error = read_error(answer)
     assert_that(error["outcome"], Equals("not_run"))
     assert_that(error["code"], Equals("backend_unreachable"))
     site.context.set_serving([])
-    answer = loop.run(site.complete(ONCE, max_tokens=TOKENS))
+    answer = loop.run(site.complete(RUN_ONCE, max_tokens=TOKENS))
     error = read_error(answer)
     assert_that(error["outcome"], Equals("not_run"))
     assert_that(error["code"], Equals("no_group"))
@@ -198,27 +202,27 @@
     add_fault(site, FaultKind.CLOSE_REUSED)
 
     async def call_often() -> list[int]:
-        calls = [site.complete(ONCE) for _ in range(12)]
+        calls = [site.complete(RUN_ONCE) for _ in range(12)]
         return [(await call).status for call in calls]
 
     assert_that(loop.run(call_often()), Equals([200] * 12))
     assert_that(site.count_runs(), Equals(12))
 
 
-def test_deadline_ends_a_request(loop: asyncio.Runner, site: Site) -> None:
+def test_deadline_aborts_a_request(loop: asyncio.Runner, site: Site) -> None:
     add_fault(site, FaultKind.ANSWER_LATE, delay_ms=60000)
-    headers = ONCE | {"X-Deadline-Ms": "50"}
+    headers = RUN_ONCE | {"X-Deadline-Ms": "50"}
     error = read_error(loop.run(site.complete(headers)))
     assert_that(error["code"], Equals("deadline_exceeded"))
     assert_that(error["outcome"], Equals("unknown"))
 
 
-def test_caller_that_leaves_frees_the_engine(
+def test_disconnected_caller_frees_the_engine(
     loop: asyncio.Runner, site: Site
 ) -> None:
-    slow_down(site, 1.0)
+    set_token_time(site, 1.0)
 
-    async def leave() -> None:
+    async def disconnect() -> None:
         reader, writer = await asyncio.open_connection(*site.address.split(":"))
         body = b'{"model":"m","prompt":"p","max_tokens":900000,"stream":true}'
         head = b"POST /v1/completions HTTP/1.1\r\nHost: n\r\n"
@@ -229,13 +233,13 @@
         while site.path.in_flight or site.count_running():
             await asyncio.sleep(0)
 
-    loop.run(leave())
+    loop.run(disconnect())
 
 
-def test_leaving_node_refuses_and_finishes(
+def test_leaving_node_rejects_new_and_finishes_running_requests(
     loop: asyncio.Runner, site: Site
 ) -> None:
-    slow_down(site, 1.0)
+    set_token_time(site, 1.0)
 
     def leave(_chunk: bytes) -> None:
         site.context.is_leaving = True
@@ -249,56 +253,61 @@
     assert_that(error["outcome"], Equals("not_run"))
 
 
-def break_leader(site: Site) -> None:
-    """Kills the leader of the group that runs a stream."""
+def kill_leader(site: Site) -> None:
+    """Kills the leader of the group that runs the stream."""
     for group in site.groups:
         if group.leader.executions:
             group.leader.kill()
             return
 
 
-def break_follower(site: Site) -> None:
-    """Kills another host of the group that runs a stream."""
+def kill_follower(site: Site) -> None:
+    """Kills the second host of the group that runs the stream."""
     for group in site.groups:
         if group.leader.executions:
             group.engines[1].kill()
             return
 
 
-@pytest.mark.parametrize("break_group", [break_leader, break_follower])
-def test_stream_goes_on_when_its_group_loses_a_host(
-    loop: asyncio.Runner, site: Site, break_group: Callable[[Site], None]
+@pytest.mark.parametrize("kill_host", [kill_leader, kill_follower])
+def test_stream_continues_when_its_group_loses_a_host(
+    loop: asyncio.Runner, site: Site, kill_host: Callable[[Site], None]
 ) -> None:
-    slow_down(site, 2.0)
-    seen: list[bytes] = []
+    set_token_time(site, 2.0)
+    chunks: list[bytes] = []
 
-    def break_after_some(chunk: bytes) -> None:
-        seen.append(chunk)
-        if len(seen) == 5:
-            break_group(site)
+    def kill_after_five_chunks(chunk: bytes) -> None:
+        chunks.append(chunk)
+        if len(chunks) == 5:
+            kill_host(site)
 
     answer = loop.run(
-        site.complete(on_chunk=break_after_some, stream=True, max_tokens=TOKENS)
+        site.complete(
+            on_chunk=kill_after_five_chunks, stream=True, max_tokens=TOKENS
+        )
     )
     assert_that(join_stream(answer.body), Equals(EXPECTED))
     assert_that(site.count_runs(), GreaterThan(1))
 
 
-@pytest.mark.parametrize("break_group", [break_leader, break_follower])
+@pytest.mark.parametrize("kill_host", [kill_leader, kill_follower])
 def test_stream_that_may_run_once_ends_with_a_marked_error(
-    loop: asyncio.Runner, site: Site, break_group: Callable[[Site], None]
+    loop: asyncio.Runner, site: Site, kill_host: Callable[[Site], None]
 ) -> None:
-    slow_down(site, 2.0)
-    seen: list[bytes] = []
+    set_token_time(site, 2.0)
+    chunks: list[bytes] = []
 
-    def break_after_some(chunk: bytes) -> None:
-        seen.append(chunk)
-        if len(seen) == 5:
-            break_group(site)
+    def kill_after_five_chunks(chunk: bytes) -> None:
+        chunks.append(chunk)
+        if len(chunks) == 5:
+            kill_host(site)
 
     answer = loop.run(
         site.complete(
-            ONCE, on_chunk=break_after_some, stream=True, max_tokens=TOKENS
+            RUN_ONCE,
+            on_chunk=kill_after_five_chunks,
+            stream=True,
+            max_tokens=TOKENS,
         )
     )
     assert answer.whole
@@ -309,22 +318,22 @@
     assert_that(site.count_runs(), Equals(1))
 
 
-def test_stream_leaves_a_group_that_stands_still(
+def test_stream_moves_away_from_a_stalled_group(
     loop: asyncio.Runner, site: Site
 ) -> None:
-    seen: list[bytes] = []
-    slow_down(site, 2.0)
+    chunks: list[bytes] = []
+    set_token_time(site, 2.0)
 
     def freeze_group(chunk: bytes) -> None:
-        seen.append(chunk)
-        if len(seen) != 5:
+        chunks.append(chunk)
+        if len(chunks) != 5:
             return
         frozen = next(g for g in site.groups if g.leader.executions)
         frozen.engines[1].faults.set_paused(True)
         site.context.set_serving(
             [e for e in site.context.serving if e.group != frozen.name]
         )
-        site.context.clock = lambda: time.monotonic() + len(seen)
+        site.context.clock = lambda: time.monotonic() + len(chunks)
 
     answer = loop.run(
         site.complete(on_chunk=freeze_group, stream=True, max_tokens=TOKENS)
@@ -333,12 +342,12 @@
     assert_that(site.count_runs(), Equals(2))
 
 
-def test_streams_of_a_lost_group_all_go_on(
+def test_all_streams_of_a_lost_group_continue(
     loop: asyncio.Runner, site: Site
 ) -> None:
-    slow_down(site, 2.0)
+    set_token_time(site, 2.0)
 
-    async def lose_a_group() -> list[str]:
+    async def kill_group_leader() -> list[str]:
         calls = [
             asyncio.create_task(site.complete(stream=True, max_tokens=TOKENS))
             for _ in range(8)
@@ -350,4 +359,4 @@
         site.groups[0].leader.kill()
         return [join_stream((await call).body) for call in calls]
 
-    assert_that(loop.run(lose_a_group()), Equals([EXPECTED] * 8))
+    assert_that(loop.run(kill_group_leader()), Equals([EXPECTED] * 8))
--- a/test/edges/test_many_slow_callers.py
+++ b/test/edges/test_many_slow_callers.py
@@ -1,4 +1,4 @@
-"""A thousand callers who do not read, over sockets."""
+"""Tests a thousand callers who do not read their streams, over sockets."""
 
 import asyncio
 import socket
@@ -17,26 +17,29 @@
 GROUPS = 40
 BUFFER_BYTES = 4096
 EVENT_BYTES = 8 * 1024
-MAX_TAKEN_BYTES = 192 * 1024
-"""What a node may take of one stream that nobody reads: the bound of the
-test, a chunk of libcurl, and the socket buffers, which the system doubles."""
+MAX_BUFFERED_BYTES = 192 * 1024
+"""Bytes that a node may accept of a stream that nobody reads: the limit that
+the test sets, a chunk of libcurl, and the socket buffers, whose sizes the
+system doubles."""
 
-TURNS = 2000
+LOOP_ITERATIONS = 2000
 
-LONGEST_S = 600
-"""Time limits of the streams, longer than the test may run."""
+STREAM_TIMEOUT_S = 600
+"""Timeout of requests and of unread streams, longer than the test may run."""
 
 
-async def pour(
+async def stream_until_blocked(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Answers a request with large events for as long as they are taken."""
+    """Answers a request with large events until the connection closes."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         lines = dict(line.split(": ", 1) for line in head.split("\r\n")[1:-2])
-        own = ("X-Request-Id", "X-Attempt-Id", "X-Fence")
-        copied = "".join(f"{name}: {lines[name]}\r\n" for name in own)
-        writer.write(f"HTTP/1.1 200 OK\r\n{copied}\r\n".encode())
+        echoed_names = ("X-Request-Id", "X-Attempt-Id", "X-Fence")
+        echoed_headers = "".join(
+            f"{name}: {lines[name]}\r\n" for name in echoed_names
+        )
+        writer.write(f"HTTP/1.1 200 OK\r\n{echoed_headers}\r\n".encode())
         text = "x" * EVENT_BYTES
         number = 0
         while True:
@@ -64,7 +67,7 @@
 
 
 async def open_stream(site: Site) -> socket.socket:
-    """Asks for a stream and reads nothing of it."""
+    """Requests a stream and reads nothing of it."""
     connection = socket.socket()
     connection.setblocking(False)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
@@ -81,9 +84,11 @@
     return sum(run.blocked for run in site.path.list_runs())
 
 
-async def leave_unread(site: Site) -> int:
-    """Returns the most events that the node took of any stream."""
-    server = await asyncio.start_server(pour, "127.0.0.1", 0, backlog=STREAMS)
+async def count_buffered_events(site: Site) -> int:
+    """Returns the largest number of events the node accepted of a stream."""
+    server = await asyncio.start_server(
+        stream_until_blocked, "127.0.0.1", 0, backlog=STREAMS
+    )
     port = server.sockets[0].getsockname()[1]
     address = f"127.0.0.1:{port}"
     site.context.set_serving(
@@ -94,7 +99,7 @@
         await asyncio.sleep(0)
     runs = site.path.list_runs()
     before = [run.count_tokens() for run in runs]
-    for _ in range(TURNS):
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
     assert_that([run.count_tokens() for run in runs], Equals(before))
     for caller in callers:
@@ -108,11 +113,11 @@
 def test_streams_that_nobody_reads_are_held_back(
     loop: asyncio.Runner, site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # On a busy machine it takes longer than the usual limits until the last
-    # stream is blocked; those that had reached them were ended meanwhile, so
-    # that all of them never were at once.
-    site.context.timeout_ms = LONGEST_S * 1000
-    monkeypatch.setattr(runs, "CALLER_STALL_S", float(LONGEST_S))
+    # On a busy machine the last stream is blocked only after the usual
+    # timeouts have ended the first ones, so that never all streams would be
+    # blocked at the same time.
+    site.context.timeout_ms = STREAM_TIMEOUT_S * 1000
+    monkeypatch.setattr(runs, "CALLER_STALL_S", float(STREAM_TIMEOUT_S))
     monkeypatch.setattr(sinks, "MAX_UNSENT_BYTES", BUFFER_BYTES)
-    most = loop.run(leave_unread(site))
-    assert_that(most * EVENT_BYTES, LessThan(MAX_TAKEN_BYTES))
+    max_events = loop.run(count_buffered_events(site))
+    assert_that(max_events * EVENT_BYTES, LessThan(MAX_BUFFERED_BYTES))
--- a/test/edges/test_mutations.py
+++ b/test/edges/test_mutations.py
@@ -1,4 +1,4 @@
-"""Faults built in on purpose must be noticed over sockets too."""
+"""Mutation tests: deliberate faults must be detected over sockets too."""
 
 import asyncio
 
@@ -14,14 +14,14 @@
 
 
 async def call_one_server(site: Site) -> None:
-    """Calls a backend server that closes kept connections, once each."""
+    """Sends `CALLS` calls to one server that closes reused connections."""
     site.context.backends = site.context.backends[:1]
     site.services[0].faults.add(FaultRule(kind=FaultKind.CLOSE_REUSED))
     for _ in range(CALLS):
         await site.call("/services/filing/x", body=[1])
 
 
-def test_own_connections_keep_runs_single(
+def test_own_connections_prevent_duplicate_runs(
     loop: asyncio.Runner, site: Site
 ) -> None:
     loop.run(call_one_server(site))
@@ -29,28 +29,28 @@
     assert site.count_calls() == CALLS
 
 
-def reuse(_curl: pycurl.Curl) -> None:
-    """Leaves the connection to be used by other transfers."""
+def allow_reuse(_curl: pycurl.Curl) -> None:
+    """Lets other transfers reuse the connection."""
 
 
-def test_reused_connection_is_noticed(
+def test_duplicate_runs_on_reused_connections_are_detected(
     loop: asyncio.Runner, site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(relay, "use_own_connection", reuse)
-    monkeypatch.setattr(Transfer, "_record_send", send_always)
+    monkeypatch.setattr(relay, "use_own_connection", allow_reuse)
+    monkeypatch.setattr(Transfer, "_record_send", accept_every_send)
     loop.run(call_one_server(site))
     assert site.count_calls() > CALLS
 
 
-def send_always(transfer: Transfer, *_addresses: object) -> int:
-    """Lets libcurl send a request as often as it wants to."""
+def accept_every_send(transfer: Transfer, *_addresses: object) -> int:
+    """Lets libcurl send a request any number of times."""
     transfer.sent = True
     return relay._SEND_OK
 
 
-def test_second_send_is_refused_on_a_reused_connection(
+def test_second_send_on_a_reused_connection_is_rejected(
     loop: asyncio.Runner, site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(relay, "use_own_connection", reuse)
+    monkeypatch.setattr(relay, "use_own_connection", allow_reuse)
     loop.run(call_one_server(site))
     assert site.count_calls() == CALLS
--- a/test/edges/test_observer.py
+++ b/test/edges/test_observer.py
@@ -1,4 +1,4 @@
-"""What routing learns of the sends of a request."""
+"""Tests what the routing policy is notified of while requests run."""
 
 import asyncio
 from collections.abc import Iterator
@@ -24,12 +24,12 @@
 from test.edges.test_slow_callers import open_slow_stream
 
 TOKENS = 200
-BREAK_AFTER = 30
+BREAK_AFTER_EVENTS = 30
 BUFFER_BYTES = 4096
 
 
-class NotingPolicy(LeastInFlight):
-    """Notes which groups gave first tokens, progress and ends."""
+class RecordingPolicy(LeastInFlight):
+    """Records the sends, first tokens, progress and completions."""
 
     def __init__(self) -> None:
         super().__init__(rng=random.Random(0))
@@ -76,13 +76,15 @@
 
 
 @pytest.fixture
-def policy() -> NotingPolicy:
-    return NotingPolicy()
+def policy() -> RecordingPolicy:
+    return RecordingPolicy()
 
 
 @pytest.fixture
-def noted_site(
-    loop: asyncio.Runner, policy: NotingPolicy, monkeypatch: pytest.MonkeyPatch
+def observed_site(
+    loop: asyncio.Runner,
+    policy: RecordingPolicy,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> Iterator[Site]:
     monkeypatch.setattr(path, "SWEEP_INTERVAL_S", 0.0)
     site = loop.run(make_site())
@@ -93,34 +95,34 @@
     loop.run(site.stop())
 
 
-def test_each_send_tells_its_own_first_token_and_tokens(
-    loop: asyncio.Runner, noted_site: Site, policy: NotingPolicy
+def test_each_send_reports_its_own_first_token_and_tokens(
+    loop: asyncio.Runner, observed_site: Site, policy: RecordingPolicy
 ) -> None:
-    for group in noted_site.groups:
+    for group in observed_site.groups:
         rule = FaultRule(
             kind=FaultKind.BREAK_STREAM,
             path="/v1/",
-            after_events=BREAK_AFTER,
+            after_events=BREAK_AFTER_EVENTS,
             count=1,
         )
         group.leader.faults.add(rule)
-    answer = loop.run(noted_site.complete(stream=True, max_tokens=TOKENS))
+    answer = loop.run(observed_site.complete(stream=True, max_tokens=TOKENS))
     assert join_stream(answer.body)
     assert_that(policy.sent, Equals(policy.first))
     assert_that(len(policy.sent), GreaterThan(1))
     assert_that([group for group, _ in policy.done], Equals(policy.sent))
-    assert_that(policy.done[0][1], Equals(BREAK_AFTER))
-    # The last event holds no token, but says that it was the last one.
+    assert_that(policy.done[0][1], Equals(BREAK_AFTER_EVENTS))
+    # The last event carries no token, only the reason of completion.
     total = sum(tokens for _, tokens in policy.done)
     assert_that(total, Equals(TOKENS + 1))
 
 
-def test_progress_is_told_now_and_then(
-    loop: asyncio.Runner, noted_site: Site, policy: NotingPolicy
+def test_progress_is_reported_in_steps(
+    loop: asyncio.Runner, observed_site: Site, policy: RecordingPolicy
 ) -> None:
-    loop.run(noted_site.complete(stream=True, max_tokens=TOKENS))
-    told = [0, *policy.progress]
-    steps = [new - old for old, new in zip(told, told[1:], strict=False)]
+    loop.run(observed_site.complete(stream=True, max_tokens=TOKENS))
+    totals = [0, *policy.progress]
+    steps = [new - old for old, new in zip(totals, totals[1:], strict=False)]
     assert_that(len(steps), GreaterThan(1))
     assert min(steps) >= PROGRESS_TOKENS
 
@@ -149,20 +151,20 @@
 
 def test_slow_caller_does_not_make_a_group_look_slow(
     loop: asyncio.Runner,
-    noted_site: Site,
-    policy: NotingPolicy,
+    observed_site: Site,
+    policy: RecordingPolicy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(sinks, "MAX_UNSENT_BYTES", BUFFER_BYTES)
-    for group in noted_site.groups:
+    for group in observed_site.groups:
         group.leader.options = group.leader.options._replace(token_ms=0.0)
 
     async def read_late() -> None:
-        reader, writer = await open_slow_stream(noted_site)
+        reader, writer = await open_slow_stream(observed_site)
         before = len(policy.progress)
         await reader.read()
         writer.close()
-        while noted_site.path.in_flight:
+        while observed_site.path.in_flight:
             await asyncio.sleep(0)
         assert_that(len(policy.progress), Equals(before))
 
--- a/test/edges/test_services.py
+++ b/test/edges/test_services.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "PUT", "PATCH", "DELETE"])
-def test_call_reaches_a_backend_server_as_it_is(
+def test_call_reaches_a_backend_server_unchanged(
     loop: asyncio.Runner, site: Site, method: str
 ) -> None:
     body = None if method in ("GET", "DELETE") else {"amount": 7}
@@ -42,11 +42,11 @@
         site.call(PATH, method=method, body=body, prepare=keep_path)
     )
     assert_that(answer.status, Equals(200))
-    told = msgspec.json.decode(answer.body)
-    assert_that(told["method"], Equals(method))
-    assert_that(told["uri"], Equals("/a%20b/../c?x=1&y=%2F"))
-    assert_that(told["body"], Equals('{"amount":7}' if body else ""))
-    assert_that(told["request_id"], Equals(answer.headers["X-Request-Id"]))
+    echoed = msgspec.json.decode(answer.body)
+    assert_that(echoed["method"], Equals(method))
+    assert_that(echoed["uri"], Equals("/a%20b/../c?x=1&y=%2F"))
+    assert_that(echoed["body"], Equals('{"amount":7}' if body else ""))
+    assert_that(echoed["request_id"], Equals(answer.headers["X-Request-Id"]))
 
 
 def test_head_has_no_body(loop: asyncio.Runner, site: Site) -> None:
@@ -70,7 +70,7 @@
     assert_that(sum(s.arrivals for s in site.services), Equals(10))
 
 
-def test_refused_call_is_told_as_not_run(
+def test_rejected_call_is_reported_as_not_run(
     loop: asyncio.Runner, site: Site
 ) -> None:
     add_fault(site, FaultRule(kind=FaultKind.REFUSE))
@@ -107,7 +107,7 @@
 ) -> None:
     add_fault(site, FaultRule(kind=FaultKind.ANSWER_LATE, delay_ms=50))
 
-    async def leave() -> None:
+    async def disconnect() -> None:
         host, port = site.address.split(":")
         _reader, writer = await asyncio.open_connection(host, port)
         writer.write(
@@ -120,5 +120,5 @@
         while site.path.in_flight:
             await asyncio.sleep(0)
 
-    loop.run(leave())
+    loop.run(disconnect())
     assert_that(site.count_calls(), Equals(1))
--- a/test/edges/test_slow_callers.py
+++ b/test/edges/test_slow_callers.py
@@ -18,7 +18,7 @@
 async def open_slow_stream(
     site: Site,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Asks for a long stream and waits until too much of it is unread."""
+    """Requests a long stream and waits until unread data blocks it."""
     host, port = site.address.split(":")
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
@@ -45,11 +45,11 @@
 
 
 @pytest.fixture(autouse=True)
-def small_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def limit_unsent_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sinks, "MAX_UNSENT_BYTES", BUFFER_BYTES)
 
 
-def test_slow_caller_holds_the_stream_back_and_gets_all_of_it(
+def test_slow_caller_pauses_the_stream_and_gets_all_of_it(
     loop: asyncio.Runner, site: Site
 ) -> None:
     async def read_slowly() -> bytes:
@@ -67,7 +67,7 @@
     assert_that(text, Equals("".join(expected_text("m", "p", TOKENS))))
 
 
-def test_caller_that_stops_reading_is_cut(
+def test_caller_that_stops_reading_is_disconnected(
     loop: asyncio.Runner, site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(runs, "CALLER_STALL_S", 0.0)
@@ -81,10 +81,10 @@
     loop.run(read_nothing())
 
 
-def test_unread_answer_counts_as_in_progress_until_its_caller_leaves(
+def test_unread_answer_is_in_progress_until_its_caller_disconnects(
     loop: asyncio.Runner, site: Site
 ) -> None:
-    async def leave_unread() -> None:
+    async def disconnect_unread() -> None:
         host, port = site.address.split(":")
         connection = socket.socket()
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
@@ -99,4 +99,4 @@
         while site.path.in_flight:
             await asyncio.sleep(0)
 
-    loop.run(leave_unread())
+    loop.run(disconnect_unread())
--- a/test/edges/test_tickets.py
+++ b/test/edges/test_tickets.py
@@ -17,9 +17,9 @@
 @pytest.fixture
 def ticket(loop: asyncio.Runner, site: Site) -> str:
     answer = loop.run(site.call("/v1/tickets", body={}))
-    minted = msgspec.json.decode(answer.body)
-    assert minted["expires_s"] > 0
-    return str(minted["ticket"])
+    issued = msgspec.json.decode(answer.body)
+    assert issued["expires_s"] > 0
+    return str(issued["ticket"])
 
 
 async def call_twice(site: Site, ticket: str, **members: Any) -> list[Call]:
@@ -82,7 +82,7 @@
     assert_that(site.count_runs(), Equals(1))
 
 
-def test_ticket_of_a_gone_node_is_unknown(
+def test_ticket_of_an_unreachable_node_is_unknown(
     loop: asyncio.Runner, site: Site
 ) -> None:
     for key in ("tk.gone.1", "tk.i1.99"):
@@ -105,7 +105,7 @@
         )
         group.leader.faults.add(rule)
 
-    async def leave() -> Call:
+    async def disconnect() -> Call:
         body = b'{"model":"m","prompt":"hello","max_tokens":6}'
         host, port = site.address.split(":")
         _reader, writer = await asyncio.open_connection(host, port)
@@ -119,38 +119,38 @@
         writer.close()
         return await site.complete({"Idempotency-Key": ticket})
 
-    answer = loop.run(leave())
+    answer = loop.run(disconnect())
     assert EXPECTED.encode() in answer.body
     assert_that(site.count_runs(), Equals(1))
 
 
-def test_other_node_passes_a_ticket_on(loop: asyncio.Runner) -> None:
-    async def use_two_nodes() -> tuple[int, set[str], set[str]]:
-        minter, other = Site("i1"), Site("i2")
-        await minter.start()
+def test_other_node_forwards_a_ticket(loop: asyncio.Runner) -> None:
+    async def call_two_nodes() -> tuple[int, set[str], set[str]]:
+        issuer, other = Site("i1"), Site("i2")
+        await issuer.start()
         await other.start()
-        other.context.peers["i1"] = minter.address
-        minted = await minter.call("/v1/tickets", body={})
-        ticket = msgspec.json.decode(minted.body)["ticket"]
+        other.context.peers["i1"] = issuer.address
+        issued = await issuer.call("/v1/tickets", body={})
+        ticket = msgspec.json.decode(issued.body)["ticket"]
         headers = {"Idempotency-Key": ticket}
         answers = await asyncio.gather(
-            *(site.complete(headers, stream=True) for site in (minter, other))
+            *(site.complete(headers, stream=True) for site in (issuer, other))
         )
-        minter.services[0].faults.add(FaultRule(kind=FaultKind.LOSE_ANSWER))
-        minter.services[1].faults.add(FaultRule(kind=FaultKind.LOSE_ANSWER))
-        minted = await minter.call("/v1/tickets", body={})
-        ticket = msgspec.json.decode(minted.body)["ticket"]
+        issuer.services[0].faults.add(FaultRule(kind=FaultKind.LOSE_ANSWER))
+        issuer.services[1].faults.add(FaultRule(kind=FaultKind.LOSE_ANSWER))
+        issued = await issuer.call("/v1/tickets", body={})
+        ticket = msgspec.json.decode(issued.body)["ticket"]
         headers = {"Idempotency-Key": ticket}
         lost = [
             await site.call("/services/filing/x", body=[1], headers=headers)
-            for site in (other, minter, other)
+            for site in (other, issuer, other)
         ]
-        runs = minter.count_runs() + other.count_runs()
-        calls = minter.count_calls() + other.count_calls()
-        await minter.stop()
+        runs = issuer.count_runs() + other.count_runs()
+        calls = issuer.count_calls() + other.count_calls()
+        await issuer.stop()
         await other.stop()
         texts = {join_stream(answer.body) for answer in answers}
         return runs + calls, texts, {read_error(a)["outcome"] for a in lost}
 
     expected = (2, {EXPECTED}, {"unknown"})
-    assert_that(loop.run(use_two_nodes()), Equals(expected))
+    assert_that(loop.run(call_two_nodes()), Equals(expected))
--- a/test/edges/test_undisturbed_streams.py
+++ b/test/edges/test_undisturbed_streams.py
@@ -1,4 +1,4 @@
-"""A stream that goes on while others send whatever they like."""
+"""Tests that bad requests of other callers do not disturb a stream."""
 
 import asyncio
 
@@ -42,7 +42,7 @@
 
 @st.composite
 def draw_bytes(draw: st.DrawFn) -> bytes:
-    """Draws bad requests, one after the other, of which the last may be cut."""
+    """Draws pipelined bad requests, of which the last may be truncated."""
     data = b"".join(
         draw(
             st.lists(
@@ -65,7 +65,7 @@
     return data
 
 
-async def send_and_hold(site: Site, data: bytes) -> asyncio.StreamWriter:
+async def send_and_keep_open(site: Site, data: bytes) -> asyncio.StreamWriter:
     """Sends bytes and leaves the connection open."""
     _, writer = await asyncio.open_connection(*site.address.split(":"))
     writer.write(data)
@@ -73,16 +73,16 @@
 
 
 async def stream_beside(site: Site, blobs: list[bytes]) -> str:
-    """Returns the text of a stream while others send bytes."""
-    began = asyncio.Event()
+    """Returns the text of a stream that runs while others send bytes."""
+    started = asyncio.Event()
     stream = asyncio.create_task(
         site.complete(
-            on_chunk=lambda _: began.set(), stream=True, max_tokens=TOKENS
+            on_chunk=lambda _: started.set(), stream=True, max_tokens=TOKENS
         )
     )
-    await began.wait()
+    await started.wait()
     writers = await asyncio.gather(
-        *(send_and_hold(site, data) for data in blobs)
+        *(send_and_keep_open(site, data) for data in blobs)
     )
     text = join_stream((await stream).body)
     for writer in writers:
