--- a/chervilrock/edges/bodies.py
+++ b/chervilrock/edges/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of completion requests, checked."""
+"""Parsing and validation of the bodies of completion requests."""
 
 from typing import Any, NamedTuple
 
@@ -13,25 +13,25 @@
 )
 
 DEFAULT_MAX_TOKENS = 512
-"""Length of an answer that is assumed when the caller sets no bound."""
+"""Assumed length of an answer when the caller sets no limit."""
 
 MAX_ANSWER_TOKENS = 1_000_000
 MAX_PROMPT_CHARS = 2_000_000
 
-_RESERVED = "continuation"
+_CONTINUATION_FIELD = "continuation"
 
 
 class CompletionCall(NamedTuple):
-    """What the node needs to know of the body of a completion.
+    """Fields of a completion request that the node uses.
 
     Attributes:
       model: name of the model.
       adapter: name of the adapter, empty for none.
-      stream: whether the answer is wanted as events.
-      wants_usage: whether the events end with one that counts the tokens.
-      prompt: the prompt as one text.
-      max_tokens: most tokens of the answer.
-      body: the body as it came.
+      stream: whether the caller wants the answer as a stream of events.
+      wants_usage: whether the last event of the stream reports token counts.
+      prompt: the prompt or the messages as one string.
+      max_tokens: maximum number of tokens in the answer.
+      body: the unparsed body.
     """
 
     model: str
@@ -49,8 +49,8 @@
     """Parses the body of a completion request.
 
     Args:
-      body: body as it came.
-      chat: whether it holds messages instead of a prompt.
+      body: unparsed body.
+      chat: whether the body contains messages instead of a prompt.
     """
     try:
         decoded = msgspec.json.decode(body)
@@ -59,11 +59,11 @@
     if not isinstance(decoded, dict):
         return Failure((Finding("body", "is not a JSON object"),))
     findings: list[Finding] = []
-    call = _read_members(decoded, body, chat, findings)
+    call = _read_fields(decoded, body, chat, findings)
     return Failure(tuple(findings)) if findings else Success(call)
 
 
-def _read_members(
+def _read_fields(
     decoded: dict[str, Any], body: bytes, chat: bool, findings: list[Finding]
 ) -> CompletionCall:
     model, _, adapter = _read_model(decoded, findings).partition(":")
@@ -78,7 +78,7 @@
         findings.append(
             Finding("body.messages" if chat else "body.prompt", problem)
         )
-    _check_single(decoded, findings)
+    _check_single_answer(decoded, findings)
     return CompletionCall(
         model=model,
         adapter=adapter,
@@ -135,14 +135,22 @@
     return found
 
 
-def _check_single(decoded: dict[str, Any], findings: list[Finding]) -> None:
-    """Checks that one answer is wanted, which can go on elsewhere."""
+def _check_single_answer(
+    decoded: dict[str, Any], findings: list[Finding]
+) -> None:
+    """Checks that the request asks for a single answer.
+
+    Only a single answer can be continued on another server. The field for the
+    continuation is reserved for nodes.
+    """
     for name in ("n", "best_of"):
         value = decoded.get(name)
         if value is not None and (type(value) is not int or value != 1):
             findings.append(Finding(f"body.{name}", "must be 1"))
-    if _RESERVED in decoded:
-        findings.append(Finding(f"body.{_RESERVED}", "is not for callers"))
+    if _CONTINUATION_FIELD in decoded:
+        findings.append(
+            Finding(f"body.{_CONTINUATION_FIELD}", "is not for callers")
+        )
 
 
 def _read_prompt(prompt: Any, findings: list[Finding]) -> str:
@@ -155,34 +163,34 @@
 
 
 def _read_messages(messages: Any, findings: list[Finding]) -> str:
-    """Returns the messages as one text, one line a message."""
+    """Returns the messages as one string with one line per message."""
     if not isinstance(messages, list) or not messages:
         findings.append(Finding("body.messages", "is not a list of messages"))
         return ""
     lines = []
     for index, message in enumerate(messages):
-        place = f"body.messages[{index}]"
+        location = f"body.messages[{index}]"
         if not isinstance(message, dict):
-            findings.append(Finding(place, "is not an object"))
+            findings.append(Finding(location, "is not an object"))
             continue
         role = message.get("role")
         if not isinstance(role, str):
-            findings.append(Finding(f"{place}.role", "is not a text"))
-        text = _read_content(message.get("content"), place, findings)
+            findings.append(Finding(f"{location}.role", "is not a text"))
+        text = _read_content(message.get("content"), location, findings)
         lines.append(f"{role}: {text}")
     return "\n".join(lines)
 
 
-def _read_content(content: Any, place: str, findings: list[Finding]) -> str:
+def _read_content(content: Any, location: str, findings: list[Finding]) -> str:
     if content is None or isinstance(content, str):
         return content or ""
     if not isinstance(content, list):
-        findings.append(Finding(f"{place}.content", "is not text or parts"))
+        findings.append(Finding(f"{location}.content", "is not text or parts"))
         return ""
     texts = []
     for part in content:
         if not isinstance(part, dict):
-            findings.append(Finding(f"{place}.content", "has an odd part"))
+            findings.append(Finding(f"{location}.content", "has an odd part"))
             continue
         text = part.get("text", "")
         texts.append(text if isinstance(text, str) else "")
@@ -190,7 +198,13 @@
 
 
 def add_continuation(body: bytes, events: int, text: str) -> bytes:
-    """Adds to a checked body what the caller has of the answer already."""
+    """Adds the part of the answer that the caller already has to a valid body.
+
+    Args:
+      body: validated body of the request.
+      events: number of events that the caller has received.
+      text: text of these events.
+    """
     decoded = msgspec.json.decode(body)
-    decoded[_RESERVED] = {"events": events, "text": text}
+    decoded[_CONTINUATION_FIELD] = {"events": events, "text": text}
     return msgspec.json.encode(decoded)
--- a/chervilrock/edges/callers.py
+++ b/chervilrock/edges/callers.py
@@ -1,4 +1,4 @@
-"""Routes for callers, and those of tickets between nodes."""
+"""Routes for callers and for tickets that nodes forward to each other."""
 
 from typing import Any
 
@@ -33,12 +33,12 @@
     path: RequestPath | None = None,
     limits: BodyLimits | None = None,
 ) -> list[routing.Rule]:
-    """Makes the routes for callers, and those of tickets between nodes.
+    """Creates the routes for callers and for forwarded tickets.
 
     Args:
-      context: the node.
-      path: request path of the node, a new one when missing.
-      limits: bounds for the bodies of requests.
+      context: state of the node.
+      path: request path of the node; by default a new one is created.
+      limits: limits for request bodies.
     """
     state = make_state(path or RequestPath(context=context), limits)
     options = {"state": state}
@@ -54,7 +54,7 @@
 
 
 def make_not_found_options(path: RequestPath) -> dict[str, Any]:
-    """Returns settings of an application so that each error has its form."""
+    """Returns application settings that give every error the common format."""
     return {
         "default_handler_class": NotFoundHandler,
         "default_handler_args": {"state": make_state(path)},
@@ -62,14 +62,14 @@
 
 
 class AddressHandler(CallerHandler):
-    """Tells callers which addresses to use."""
+    """Returns the addresses that callers should use."""
 
     def get(self) -> None:
-        """Answers with addresses for a data centre."""
+        """Answers with the addresses for a data centre."""
         data_centre = self.get_query_argument("data_centre", "")
         if len(data_centre) > MAX_DATA_CENTRE_CHARS:
             message = "data_centre: is too long"
-            self.refuse(CallerError(ErrorCode.BAD_REQUEST, message))
+            self.reject(CallerError(ErrorCode.BAD_REQUEST, message))
             return
         context = self.path.context
         answer = context.addresses(data_centre, context.now())
@@ -83,7 +83,7 @@
     """Lists the models and adapters."""
 
     def get(self) -> None:
-        """Answers in the form of common model clients."""
+        """Answers in the format that common model clients expect."""
         entries = [
             {"id": name, "object": "model", "created": 0, "owned_by": owner}
             for name, owner in list_models(self.path.context)
@@ -94,7 +94,7 @@
 
 
 def list_models(context: RequestContext) -> list[tuple[str, str]]:
-    """Returns the names that callers may use, each with its model."""
+    """Returns the model and adapter names for callers, each with its model."""
     names = []
     for spec in context.models():
         names.append((spec["name"], spec["name"]))
@@ -104,22 +104,22 @@
 
 
 class TicketHandler(CallerHandler):
-    """Mints tickets."""
+    """Issues tickets."""
 
-    allowed = "POST, OPTIONS"
+    allowed_methods = "POST, OPTIONS"
 
     def post(self) -> None:
         """Answers with a new ticket."""
         if self.path.context.leaving:
-            self.refuse(once.LEAVING)
+            self.reject(once.LEAVING)
             return
         self.write_json(self.state.tickets.mint())
 
 
 class RunHandler(BodyHandler):
-    """Answers a request that backend servers run."""
+    """Answers a request by running it on a backend server."""
 
-    passes_headers = True
+    forwards_headers = True
     _sink: CallerSink | None = None
     _run: BackendRun | None = None
 
@@ -136,13 +136,13 @@
         return Outcome.NOT_RUN if self._sink is None else Outcome.UNKNOWN
 
     async def answer(self, method: str, target: str) -> None:
-        """Runs the request and passes its answer on.
+        """Runs the request and forwards its answer.
 
         Args:
           method: HTTP method.
           target: path and query.
         """
-        body = self.take_body()
+        body = self.collect_body()
         if body is None:
             return
         request = CallerRequest(
@@ -152,11 +152,11 @@
             headers=self._copy_headers(),
             parsed=self.headers,
             body=body,
-            deadline=self.find_deadline(),
+            deadline=self.compute_deadline(),
         )
         prepared = dispatch.prepare(self.path, request)
         if isinstance(prepared, Failure):
-            self.refuse(prepared.failure())
+            self.reject(prepared.failure())
             return
         self._sink = self.make_sink()
         with self.path.hold():
@@ -164,8 +164,8 @@
             await self._sink.drain(DRAIN_TIMEOUT_S)
 
     def _copy_headers(self) -> Headers:
-        """Returns the headers if they go on to another server."""
-        if self.passes_headers or self.headers.key:
+        """Returns the headers if they may be forwarded to another server."""
+        if self.forwards_headers or self.headers.key:
             return tuple(self.request.headers.get_all())
         return ()
 
@@ -184,27 +184,27 @@
                 ticket.sequence, request, prepared, sink
             )
         else:
-            await self.state.tickets.pass_on(ticket, request, sink)
+            await self.state.tickets.forward(ticket, request, sink)
 
 
 class CompletionHandler(RunHandler):
     """Answers a completion or chat request."""
 
-    passes_headers = False
+    forwards_headers = False
 
     async def post(self) -> None:
-        """Runs the request and passes its answer on."""
+        """Runs the request and forwards its answer."""
         await self.answer("POST", self.request.path)
 
 
 class ServiceHandler(RunHandler):
     """Answers a call of a plain service."""
 
-    allowed = SERVICE_METHODS
-    relays_options = True
+    allowed_methods = SERVICE_METHODS
+    forwards_options = True
 
     async def get(self) -> None:
-        """Runs the call and passes its answer on."""
+        """Runs the call and forwards its answer."""
         await self.answer(self.request.method or "", self.request.uri or "")
 
     head = get
@@ -216,17 +216,17 @@
 
 
 class PeerTicketHandler(RunHandler):
-    """Answers a request that another node passes on."""
+    """Answers a request that another node forwards."""
 
     async def post(self, text: str) -> None:
-        """Runs the request or answers what became of it."""
+        """Runs the request or returns the answer of its earlier run."""
         ticket = parse_ticket(text)
         headers = self.request.headers
         if ticket is None or self.headers.key != text:
             message = "the path and the header Idempotency-Key differ"
-            self.refuse(CallerError(ErrorCode.BAD_REQUEST, message))
+            self.reject(CallerError(ErrorCode.BAD_REQUEST, message))
         elif not self.state.tickets.is_own(ticket):
-            self.refuse(once.FORGOTTEN)
+            self.reject(once.FORGOTTEN)
         else:
             await self.answer(
                 headers.get(METHOD_HEADER, ""), headers.get(TARGET_HEADER, "")
--- a/chervilrock/edges/context.py
+++ b/chervilrock/edges/context.py
@@ -1,4 +1,4 @@
-"""What the handlers for callers need from the node that they run in."""
+"""Interface between the handlers for callers and their node."""
 
 import abc
 from typing import TYPE_CHECKING
@@ -17,8 +17,9 @@
 class RequestContext(abc.ABC):
     """State of a node as the handlers for callers see it.
 
-    A handler asks anew for each attempt, so that an answer is never older
-    than the attempt. All times are seconds of the monotonic clock of `now`.
+    Handlers call these methods again for each attempt, so that a result is
+    never older than the attempt. All times are seconds of the monotonic
+    clock of `now`.
     """
 
     @property
@@ -29,27 +30,27 @@
     @property
     @abc.abstractmethod
     def incarnation(self) -> str:
-        """Name of this run of the node; it changes at every start."""
+        """Identifier of this run of the node; it changes at every start."""
 
     @property
     @abc.abstractmethod
     def leaving(self) -> bool:
-        """Whether this node takes no new requests since it stops."""
+        """Whether this node is stopping and rejects new requests."""
 
     @property
     @abc.abstractmethod
     def admission(self) -> "Admission":
-        """Decides which requests run, wait or are rejected."""
+        """Admission control: decides which requests run, wait or fail."""
 
     @property
     @abc.abstractmethod
     def policy(self) -> "RoutingPolicy":
-        """Chooses the replica group for a request."""
+        """Routing policy that chooses the replica group for a request."""
 
     @property
     @abc.abstractmethod
     def engine(self) -> "ModelEngine":
-        """Control side of the engines, to cancel attempts."""
+        """Control interface of the engines, used to cancel attempts."""
 
     @property
     @abc.abstractmethod
@@ -62,7 +63,7 @@
 
     @abc.abstractmethod
     def limits(self) -> configuration.LimitSpec:
-        """Returns the limits in force; a missing one has its default."""
+        """Returns the limits in force; missing fields have their defaults."""
 
     @abc.abstractmethod
     def models(self) -> tuple[configuration.ModelSpec, ...]:
@@ -72,7 +73,7 @@
     def endpoints(
         self, model: str, adapter: str, now: float
     ) -> "tuple[Endpoint, ...]":
-        """Returns the groups of a model and adapter that may serve right now.
+        """Returns the groups of a model and adapter that may serve now.
 
         Args:
           model: name of the model.
@@ -80,19 +81,19 @@
           now: present time.
 
         Returns:
-          Only groups that are in the phase `serving` and whose every host is
-          proven present at `now`.
+          Only groups in the phase `serving` whose hosts are all verified as
+          present at `now`.
         """
 
     @abc.abstractmethod
     def holds(self, endpoint: "Endpoint", now: float) -> bool:
-        """Tells whether a group still works on what it was sent.
+        """Returns whether a group still processes its running attempts.
 
-        It does while it is whole under the same fencing number. It may get
-        nothing new all the same, as when it drains.
+        It does as long as all its members are present under the same fencing
+        number. It may still be closed to new requests, as while it drains.
 
         Args:
-          endpoint: the group as it was when it got a request.
+          endpoint: the group as it was when the attempt was sent.
           now: present time.
         """
 
@@ -104,9 +105,9 @@
     def service_backends(
         self, name: str, now: float
     ) -> tuple[interfaces.ServiceEntry, ...]:
-        """Returns the backend servers of a plain service for new work.
+        """Returns the backend servers of a plain service for new requests.
 
-        Those that are leaving are left out.
+        Servers that are leaving are excluded.
         """
 
     @abc.abstractmethod
@@ -116,7 +117,7 @@
         """Returns the addresses that a caller of a data centre should use.
 
         Args:
-          data_centre: where the caller is, empty when it did not say.
+          data_centre: data centre of the caller, empty if not given.
           now: present time.
         """
 
@@ -124,23 +125,23 @@
     def peer_address(self, incarnation: str) -> str | None:
         """Returns the address of the node with this incarnation.
 
-        None when that incarnation is gone or has not been heard of.
+        None if that incarnation has ended or is unknown to this node.
         """
 
     async def claim_key(self, name: KeyName) -> KeyVerdict:
-        """Claims a key that a caller chose, in the log.
+        """Claims a caller-chosen idempotency key in the log.
 
-        A node that claims no keys answers that the request is not run.
+        The default implementation claims nothing and returns `NOT_RUN`.
 
         Returns:
-          Anything but `WAIT`. At most one caller of this node gets
-          `DISPATCH`; others that wait for the same key get it not.
+          Any verdict except `WAIT`. `DISPATCH` is returned to at most one of
+          the callers of this node that wait for the same key.
         """
         del name
         return KeyVerdict.NOT_RUN
 
     def finish_key(self, name: KeyName, outcome: str) -> None:
-        """Tells the log how the request with a claimed key has ended.
+        """Records the outcome of the request with a claimed key in the log.
 
         Args:
           name: the key.
--- a/chervilrock/edges/errors.py
+++ b/chervilrock/edges/errors.py
@@ -1,4 +1,4 @@
-"""Errors as callers get them."""
+"""Error responses for callers."""
 
 import enum
 import math
@@ -10,15 +10,16 @@
 
 OUTCOME_HEADER = "X-Outcome"
 SHOULD_RETRY_HEADER = "X-Should-Retry"
-"""Common model clients repeat a failed request by themselves unless an
-answer forbids it with this header."""
+"""Header that controls the automatic retries of common model clients.
+
+Without it these clients retry a failed request on their own."""
 
 DEFAULT_RETRY_AFTER_S = 1.0
 _MS_PER_S = 1000
 
 
 class ErrorType(enum.StrEnum):
-    """Class of an error as common model clients know it."""
+    """Error types that common model clients recognize."""
 
     INVALID_REQUEST = "invalid_request_error"
     NOT_FOUND = "not_found_error"
@@ -27,10 +28,10 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Stable short names of the errors.
+    """Stable error codes.
 
-    The names from `DEADLINE_EXCEEDED` to `WORKSPACE_LIMIT` are those of the
-    admission.
+    The codes from `DEADLINE_EXCEEDED` to `WORKSPACE_LIMIT` have the same names
+    as in the admission control.
     """
 
     BAD_REQUEST = "bad_request"
@@ -61,13 +62,13 @@
 
 
 class ErrorSpec(NamedTuple):
-    """What is fixed about an error code.
+    """Properties that all errors of a code share.
 
     Attributes:
       status: HTTP status.
       error_type: class of error.
-      retry_after_s: time to wait before the next try, 0 when the same request
-        would fail again.
+      retry_after_s: time in seconds to wait before a retry, 0 if the same
+        request would fail again.
     """
 
     status: int
@@ -112,14 +113,14 @@
 
 
 class CallerError(NamedTuple):
-    """An error for a caller.
+    """An error that is sent to a caller.
 
     Attributes:
-      code: what went wrong.
-      message: what went wrong, for a person.
+      code: error code.
+      message: human-readable description.
       outcome: what is known of the request.
-      retry_after_s: time to wait before the next try, None for that of the
-        code.
+      retry_after_s: time in seconds to wait before a retry, None for the
+        default of the code.
     """
 
     code: ErrorCode
@@ -134,7 +135,7 @@
 
     @property
     def delay_s(self) -> float:
-        """Time in seconds to wait before the next try."""
+        """Time in seconds to wait before a retry."""
         if self.retry_after_s is not None:
             return self.retry_after_s
         return SPECS[self.code].retry_after_s
@@ -173,7 +174,7 @@
 
 
 def format_should_retry(error: CallerError, may_retry: bool) -> str:
-    """Tells a client that repeats by itself whether it may do so here."""
+    """Returns the header value that allows or forbids automatic retries."""
     if error.delay_s <= 0:
         return "false"
     if error.outcome is Outcome.NOT_RUN or may_retry:
@@ -182,5 +183,5 @@
 
 
 def make_event(error: CallerError, request_id: str) -> bytes:
-    """Makes the event that marks the end of a broken stream."""
+    """Makes the event that ends a failed stream."""
     return b"event: error\ndata: " + make_body(error, request_id) + b"\n\n"
--- a/chervilrock/edges/heads.py
+++ b/chervilrock/edges/heads.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages to and from backend servers."""
+"""Status lines and headers of HTTP messages of backend servers."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
     Attributes:
       status: HTTP status.
-      headers: names and values as they came.
+      headers: names and values in the order received.
     """
 
     status: int
@@ -38,7 +38,8 @@
     A header with an empty value keeps libcurl from adding its own.
 
     Raises:
-      ValueError: a name or value would break out of its line.
+      ValueError: a name or value contains CR, LF or NUL, which would allow
+        header injection.
     """
     lines = [f"{name}: {value}" for name, value in headers]
     for line in lines:
@@ -49,14 +50,14 @@
 
 
 def parse_head(lines: Sequence[bytes]) -> Head | None:
-    """Parses the lines that libcurl gave as headers.
+    """Parses the header lines that libcurl delivers.
 
     Args:
       lines: all lines, also those of answers before the final one, such as
         100 Continue.
 
     Returns:
-      The final head, or None when there is none or it is malformed.
+      The final head, or None if it is missing or malformed.
     """
     first = None
     for index, line in enumerate(lines):
@@ -76,7 +77,7 @@
 
 
 def parse_status(line: bytes) -> int | None:
-    """Parses the status of a line such as `HTTP/1.1 200 OK`."""
+    """Parses the status code of a line such as `HTTP/1.1 200 OK`."""
     parts = line.split(maxsplit=2)
     if len(parts) < _MIN_STATUS_PARTS or not parts[1].isdigit():
         return None
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -1,4 +1,4 @@
-"""Requests with a key that the caller chose."""
+"""Requests with an idempotency key that the caller chose."""
 
 from chervilrock.decisions.requests import runregistry
 from chervilrock.decisions.requests.keyfold import KeyName
@@ -16,31 +16,31 @@
 from chervilrock.generated.interfaces import Outcome
 
 MAX_ENTRIES = 10_000
-"""Most keys whose answers this node can still tell by itself."""
+"""Maximum number of keys whose answers this node stores."""
 
 UNAVAILABLE = CallerError(
     ErrorCode.KEY_UNAVAILABLE,
     "the key cannot be claimed now; a ticket from /v1/tickets needs no claim",
     Outcome.UNKNOWN,
 )
-"""Told when the log does not say whose key it is.
+"""Sent when the log cannot confirm who has claimed the key.
 
-This try was not run, but an earlier one with the same key may have been run by
-another node, and for the caller both are the same request.
+This attempt was not run, but another node may have run an earlier one with the
+same key. For the caller both are the same request, so its outcome is unknown.
 """
 
 
-class KeyDesk:
-    """Runs a request once for each key that a caller chose."""
+class KeyedRequestRunner:
+    """Runs a request at most once for each idempotency key."""
 
     def __init__(self, *, path: RequestPath) -> None:
-        """Starts without keys.
+        """Create a runner without keys.
 
         Args:
           path: request path of the node.
         """
         self._context = path.context
-        self._memory: runregistry.RunRegistry[KeyName] = (
+        self._registry: runregistry.RunRegistry[KeyName] = (
             runregistry.RunRegistry()
         )
         self._runs: once.OnceRuns[KeyName] = once.OnceRuns(path=path)
@@ -57,26 +57,26 @@
         Args:
           key: the key.
           request: the request.
-          prepared: the request, checked.
-          sink: takes the answer.
+          prepared: the validated request.
+          sink: sink for the answer.
         """
         name = KeyName(request.parsed.workspace, key)
         fingerprint = once.fingerprint(request)
-        claim = self._memory.find(name, fingerprint)
+        claim = self._registry.find(name, fingerprint)
         if claim is None and self._context.leaving:
             once.fail(sink, once.LEAVING)
             return
         if claim is None:
             verdict = await self._context.claim_key(name)
-            # Another caller with the same key may have come meanwhile.
-            claim = self._memory.find(name, fingerprint)
+            # Another request with the same key may have arrived meanwhile.
+            claim = self._registry.find(name, fingerprint)
             if claim is None:
-                claim = self._take_verdict(
+                claim = self._apply_verdict(
                     name, fingerprint, verdict, prepared, sink
                 )
-        await self._follow_claim(name, claim, request, sink)
+        await self._answer_claim(name, claim, request, sink)
 
-    def _take_verdict(
+    def _apply_verdict(
         self,
         name: KeyName,
         fingerprint: int,
@@ -84,10 +84,10 @@
         prepared: Prepared,
         sink: AnswerSink,
     ) -> Claim:
-        """Runs the request if its key was claimed for it."""
+        """Runs the request if the verdict grants its key."""
         if verdict is KeyVerdict.DISPATCH:
-            self._make_room()
-            self._memory.start(name, fingerprint)
+            self._evict_oldest()
+            self._registry.start(name, fingerprint)
             self._start(name, prepared)
             return Claim(ClaimKind.JOIN)
         if verdict is KeyVerdict.TAKEN:
@@ -97,7 +97,7 @@
         sink.fail(UNAVAILABLE, may_retry=True)
         return Claim(ClaimKind.RUN)
 
-    async def _follow_claim(
+    async def _answer_claim(
         self,
         name: KeyName,
         claim: Claim,
@@ -114,18 +114,21 @@
             once.fail(sink, once.FORGOTTEN)
 
     def _start(self, name: KeyName, prepared: Prepared) -> None:
-        """Starts the one run of a key."""
+        """Starts the single run of a key."""
 
         def finish(outcome: Outcome, answer: RecordedAnswer | None) -> None:
-            self._memory.finish(name, outcome=outcome, answer=answer)
-            told = outcome.value if answer is None else COMPLETE
-            self._context.finish_key(name, told)
+            self._registry.finish(name, outcome=outcome, answer=answer)
+            recorded_outcome = outcome.value if answer is None else COMPLETE
+            self._context.finish_key(name, recorded_outcome)
 
         self._runs.start(name, prepared, finish)
 
-    def _make_room(self) -> None:
-        """Forgets the oldest run; the log still knows of its key."""
-        if len(self._memory) >= MAX_ENTRIES:
-            oldest = next(self._memory.list_completed(), None)
+    def _evict_oldest(self) -> None:
+        """Removes the oldest completed run if the registry is full.
+
+        The log still has the record of its key.
+        """
+        if len(self._registry) >= MAX_ENTRIES:
+            oldest = next(self._registry.list_completed(), None)
             if oldest is not None:
-                self._memory.forget(oldest)
+                self._registry.forget(oldest)
--- a/chervilrock/edges/operators.py
+++ b/chervilrock/edges/operators.py
@@ -27,20 +27,20 @@
 
     @abc.abstractmethod
     async def apply(self, request: ApplyRequest) -> ApplyAnswer | CallerError:
-        """Append a configuration and wait until it is read back.
+        """Append a configuration to the log and wait until it is read back.
 
         Returns:
-          What became of it, or an error whose outcome tells whether it may
-          still become the configuration in force.
+          The result, or an error whose outcome shows whether the configuration
+          may still come into force.
         """
 
     @abc.abstractmethod
     async def report_status(self) -> StatusAnswer:
-        """Return the state of the installation as this node knows it."""
+        """Return the state of the installation in the view of this node."""
 
     @abc.abstractmethod
     async def dump_state(self) -> dict[str, Any]:
-        """Return the whole state of this process as JSON values."""
+        """Return the complete state of this process as JSON values."""
 
     @abc.abstractmethod
     def render_metrics(self) -> bytes:
@@ -58,7 +58,7 @@
     context: OperatorContext
 
     def initialize(self, context: OperatorContext) -> None:
-        """Take the state that the handler works on."""
+        """Store the state of the node."""
         self.context = context
 
     def write_json(self, value: object, status: int = 200) -> None:
@@ -75,13 +75,15 @@
 
 
 class _ApplyHandler(_Handler):
-    """Puts a configuration in force."""
+    """Applies a configuration."""
 
     async def post(self) -> None:
         try:
             request = _APPLY_DECODER.decode(self.request.body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.write_json(refuse_body(str(error)), _STATUS_BAD_REQUEST)
+            self.write_json(
+                make_bad_request_answer(str(error)), _STATUS_BAD_REQUEST
+            )
             return
         answer = await self.context.apply(request)
         if isinstance(answer, CallerError):
@@ -90,14 +92,14 @@
         self.write_json(answer, choose_status(answer))
 
 
-def refuse_body(message: str) -> ApplyAnswer:
-    """Return the answer to a body that cannot be read."""
+def make_bad_request_answer(message: str) -> ApplyAnswer:
+    """Return the answer to a body that cannot be decoded."""
     finding = ApplyFinding(code="bad-request", message=message, hint="")
     return ApplyAnswer(accepted=False, revision=0, findings=(finding,))
 
 
 def choose_status(answer: ApplyAnswer) -> int:
-    """Return the HTTP status for an answer to an apply."""
+    """Return the HTTP status for the answer to an apply request."""
     if answer["accepted"]:
         return 200
     if answer["findings"]:
@@ -106,7 +108,7 @@
 
 
 class _StatusHandler(_Handler):
-    """Tells the state of the installation."""
+    """Returns the state of the installation."""
 
     async def get(self) -> None:
         self.write_json(await self.context.report_status())
@@ -120,7 +122,7 @@
 
 
 class _MetricsHandler(_Handler):
-    """Writes the metrics."""
+    """Returns the metrics as Prometheus text."""
 
     def get(self) -> None:
         self.set_header("Content-Type", metrics.CONTENT_TYPE)
@@ -128,14 +130,14 @@
 
 
 class _HealthHandler(_Handler):
-    """Answers while the process runs."""
+    """Answers as long as the process runs (liveness check)."""
 
     def get(self) -> None:
         self.write_json({"healthy": True})
 
 
 class _ReadyHandler(_Handler):
-    """Tells whether callers should use this node."""
+    """Returns whether callers should use this node (readiness check)."""
 
     def get(self) -> None:
         ready = self.context.ready
@@ -159,11 +161,11 @@
 
 
 def make_unavailable_error(message: str, *, sent: bool) -> CallerError:
-    """Return the error for an apply that the log service did not confirm.
+    """Return the error for an apply request that the log did not confirm.
 
     Args:
-      message: what went wrong, for a person
-      sent: whether the record may stand in the log all the same
+      message: human-readable description.
+      sent: whether the record was sent and so may still be in the log.
     """
     outcome = Outcome.UNKNOWN if sent else Outcome.NOT_RUN
     return CallerError(ErrorCode.LOG_UNAVAILABLE, message, outcome)
--- a/chervilrock/edges/parsing.py
+++ b/chervilrock/edges/parsing.py
@@ -1,7 +1,7 @@
-"""Headers of callers, checked.
+"""Parsing and validation of the request headers of callers.
 
-What is wrong is collected with its place, so that a caller learns of all of
-it at once.
+All problems are collected with their location, so that a caller gets them in
+a single error.
 """
 
 from collections.abc import Mapping
@@ -24,11 +24,11 @@
 
 
 class Finding(NamedTuple):
-    """One thing that is wrong with a request.
+    """A problem in a request.
 
     Attributes:
-      place: header or member of the body.
-      problem: what is wrong with it.
+      location: header or field of the body.
+      problem: description of the problem.
     """
 
     place: str
@@ -41,14 +41,14 @@
 
 
 class CallerHeaders(NamedTuple):
-    """What the headers of a caller say.
+    """Parsed headers of a caller.
 
     Attributes:
       workspace: workspace of the caller.
-      priority: 0 (first) to 9 (last).
-      timeout_s: time that the caller will wait, None when it did not say.
-      idempotent: whether it may run twice, None when the caller did not say.
-      key: ticket or key, empty for none.
+      priority: 0 (highest) to 9 (lowest).
+      timeout_s: time in seconds that the caller waits, None if not given.
+      idempotent: whether the request may run twice, None if not given.
+      key: ticket or idempotency key, empty for none.
     """
 
     workspace: str
@@ -67,10 +67,10 @@
     """Parses the headers that callers may add.
 
     Args:
-      headers: headers by name; their names are found in any case.
+      headers: headers by name, with case-insensitive lookup.
 
     Returns:
-      The values, with defaults for missing ones, or everything that is wrong.
+      The values, with defaults for missing headers, or all problems.
     """
     findings: list[Finding] = []
     parsed = CallerHeaders(
@@ -115,7 +115,7 @@
 
 
 def parse_count(value: str) -> int | None:
-    """Parses a whole number of ASCII digits, or returns None."""
+    """Parses a non-negative integer, returns None if it is malformed."""
     if not value.isascii() or not value.isdigit():
         return None
     return int(value) if len(value) <= _MAX_DIGITS else None
--- a/chervilrock/edges/peers.py
+++ b/chervilrock/edges/peers.py
@@ -1,4 +1,4 @@
-"""Handlers for exchanges with other nodes."""
+"""Handlers for the exchange of digests with other nodes."""
 
 import abc
 
@@ -17,7 +17,7 @@
 
     @abc.abstractmethod
     def answer_digest(self, digest: PeerDigest) -> PeerDigest:
-        """Take the digest of a peer and return the own one."""
+        """Apply the digest of a peer and return the digest of this node."""
 
 
 class _ExchangeHandler(web.RequestHandler):
@@ -26,11 +26,11 @@
     context: PeerContext
 
     def initialize(self, context: PeerContext) -> None:
-        """Take the state that the handler works on."""
+        """Store the state of the node."""
         self.context = context
 
     def set_default_headers(self) -> None:
-        """Leave out headers that no peer reads, as exchanges are small."""
+        """Omit headers that no peer reads, since exchanges are small."""
         self.clear_header("Server")
         self.clear_header("Date")
 
--- a/chervilrock/edges/progress.py
+++ b/chervilrock/edges/progress.py
@@ -1,52 +1,53 @@
-"""Whether an answer of an engine still gets on."""
+"""Stall detection for the answers of engines."""
 
 GROUP_LOST_S = 1.0
-"""Time without an event after which a request leaves a group that is no longer
-whole under its fencing number."""
+"""Time without an event after which a request abandons a group that has lost
+members or changed its fencing number."""
 
-STREAM_STALL_S = 15.0
-"""Time without an event after which a stream counts as broken."""
+STREAM_STALL_TIMEOUT_S = 15.0
+"""Time without an event after which a stream is treated as broken."""
 
-TAIL_S = 1.0
-"""Time that an engine has to end its answer after the last event."""
+END_TIMEOUT_S = 1.0
+"""Time that an engine has to close its answer after the last event."""
 
 
 class Progress:
-    """Notices how long nothing has come of an answer."""
+    """Measures the time since the last progress of an answer."""
 
     def __init__(self) -> None:
-        """Starts before anything was sent."""
+        """Create a measurement for an answer without events."""
         self._position = 0
-        self._since = 0.0
+        self._last_progress_at = 0.0
 
     def restart(self, now: float) -> None:
-        """Takes note that a request was sent."""
-        self._since = now
+        """Restarts the measurement when a request is sent."""
+        self._last_progress_at = now
 
     def measure_silence(
         self, position: int, held_back: bool, now: float
     ) -> float:
-        """Returns the time in seconds since something came.
+        """Returns the time in seconds since the last progress.
 
         Args:
-          position: events that have come so far.
-          held_back: whether nothing can come, since the caller does not read.
+          position: number of events received so far.
+          held_back: whether the transfer is paused because the caller does not
+            read.
           now: present time.
         """
         if position != self._position or held_back:
             self._position = position
-            self._since = now
-        return now - self._since
+            self._last_progress_at = now
+        return now - self._last_progress_at
 
 
-def is_broken(position: int, done: bool, silence: float) -> bool:
-    """Tells whether a silent stream counts as broken, whatever its group does.
+def is_broken(position: int, done: bool, stalled_s: float) -> bool:
+    """Returns whether a stalled stream is broken, regardless of its group.
 
     Args:
-      position: events that have come so far.
-      done: whether the last event has come.
-      silence: time in seconds since something came.
+      position: number of events received so far.
+      done: whether the last event has been received.
+      stalled_s: time in seconds since the last progress.
     """
     if done:
-        return silence > TAIL_S
-    return position > 0 and silence > STREAM_STALL_S
+        return stalled_s > END_TIMEOUT_S
+    return position > 0 and stalled_s > STREAM_STALL_TIMEOUT_S
--- a/chervilrock/edges/recordings.py
+++ b/chervilrock/edges/recordings.py
@@ -1,4 +1,4 @@
-"""Answers that several callers get, and that outlive their callers."""
+"""Recorded answers that are shared by callers and outlive them."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 
 
 class RecordingSink(AnswerSink):
-    """Keeps an answer, and passes it on to those who follow it.
+    """Records an answer and forwards it to its followers.
 
     Attributes:
-      ended: is done once the answer is whole or has failed.
-      error: error of a failed answer, None before and for a whole one.
+      ended: future that is done once the answer is complete or has failed.
+      error: error of a failed answer, None while it runs and after success.
     """
 
     def __init__(self, *, max_bytes: int = MAX_ANSWER_BYTES) -> None:
-        """Starts an empty recording.
+        """Create an empty recording.
 
         Args:
-          max_bytes: greatest answer that is kept.
+          max_bytes: size limit of the recording; a larger answer is dropped.
         """
         self._max_bytes = max_bytes
         self._head: AnswerHead | None = None
@@ -38,7 +38,7 @@
 
     @property
     def blocked_since(self) -> float | None:
-        """See base class; the longest time of any follower."""
+        """Start of the longest block of any follower; see base class."""
         since = [
             follower.blocked_since
             for follower in self._followers
@@ -47,17 +47,17 @@
         return min(since, default=None)
 
     @property
-    def kept(self) -> bool:
-        """Whether all of the answer so far is kept."""
+    def is_complete(self) -> bool:
+        """Whether the recording contains all of the answer so far."""
         return self._size <= self._max_bytes
 
     def follow(self, sink: AnswerSink) -> bool:
-        """Passes the answer on to a sink, from its beginning.
+        """Forwards the answer to a sink from its beginning.
 
         Returns:
-          False when the beginning is not kept any more.
+          False if the recording was dropped because of its size.
         """
-        if not self.kept:
+        if not self.is_complete:
             return False
         if self._head is not None:
             sink.start(self._head)
@@ -68,13 +68,13 @@
         return True
 
     def unfollow(self, sink: AnswerSink) -> None:
-        """Takes note that a follower is gone."""
+        """Removes a follower."""
         if sink in self._followers:
             self._followers.remove(sink)
 
     def make_record(self) -> RecordedAnswer | None:
-        """Returns the whole answer, None when it failed or is not kept."""
-        if self._head is None or self.error is not None or not self.kept:
+        """Returns the complete answer, None if it failed or was dropped."""
+        if self._head is None or self.error is not None or not self.is_complete:
             return None
         return RecordedAnswer(
             status=self._head.status,
@@ -93,7 +93,7 @@
     def write(self, data: bytes) -> None:
         """See base class."""
         self._size += len(data)
-        if self.kept:
+        if self.is_complete:
             self._chunks.append(data)
         else:
             self._chunks.clear()
@@ -114,7 +114,7 @@
         self._end()
 
     def cut(self) -> None:
-        """Cuts the followers that read too slowly; the run goes on."""
+        """Aborts the followers that read too slowly; the run continues."""
         for follower in list(self._followers):
             if follower.blocked_since is not None:
                 follower.cut()
@@ -133,7 +133,7 @@
 
 
 def replay(record: RecordedAnswer, sink: AnswerSink) -> None:
-    """Gives a recorded answer to a caller."""
+    """Sends a recorded answer to a caller."""
     head = AnswerHead(
         status=record.status, headers=record.headers, events=record.events
     )
--- a/chervilrock/edges/state.py
+++ b/chervilrock/edges/state.py
@@ -1,18 +1,18 @@
-"""What the handlers for callers work on."""
+"""Shared state of the handlers for callers."""
 
 from typing import NamedTuple
 
-from chervilrock.edges.keys import KeyDesk
+from chervilrock.edges.keys import KeyedRequestRunner
 from chervilrock.edges.path import RequestPath
-from chervilrock.edges.tickets import TicketDesk
+from chervilrock.edges.tickets import TicketedRequestRunner
 
 
 class BodyLimits(NamedTuple):
-    """Bounds for the bodies of requests.
+    """Limits for request bodies.
 
     Attributes:
-      max_bytes: greatest body.
-      timeout_s: longest time for a body to arrive, in seconds.
+      max_bytes: maximum size of a body.
+      timeout_s: time in seconds within which a body must arrive.
     """
 
     max_bytes: int = 4 * 1024 * 1024
@@ -24,24 +24,24 @@
 
     Attributes:
       path: request path of the node.
-      limits: bounds for the bodies of requests.
-      tickets: tickets of this incarnation of the node.
-      keys: keys that callers chose.
+      limits: limits for request bodies.
+      tickets: runs requests with tickets of this incarnation of the node.
+      keys: runs requests with caller-chosen idempotency keys.
     """
 
     path: RequestPath
     limits: BodyLimits
-    tickets: TicketDesk
-    keys: KeyDesk
+    tickets: TicketedRequestRunner
+    keys: KeyedRequestRunner
 
 
 def make_state(
     path: RequestPath, limits: BodyLimits | None = None
 ) -> CallerState:
-    """Makes the state for the handlers of one node."""
+    """Creates the shared state for the handlers of one node."""
     return CallerState(
         path=path,
         limits=limits or BodyLimits(),
-        tickets=TicketDesk(path=path),
-        keys=KeyDesk(path=path),
+        tickets=TicketedRequestRunner(path=path),
+        keys=KeyedRequestRunner(path=path),
     )
--- a/chervilrock/edges/tickets.py
+++ b/chervilrock/edges/tickets.py
@@ -1,4 +1,4 @@
-"""Requests that carry a ticket: run once, joined, replayed or passed on."""
+"""Requests that carry a ticket: run once, joined, replayed or forwarded."""
 
 from chervilrock.decisions.requests import tickets
 from chervilrock.decisions.requests.runregistry import ClaimKind, RecordedAnswer
@@ -16,10 +16,12 @@
 METHOD_HEADER = "X-Caller-Method"
 TARGET_HEADER = "X-Caller-Target"
 
-_OWN_REQUEST_HEADERS = frozenset(
+_EXCLUDED_REQUEST_HEADERS = frozenset(
     {"expect", "host", METHOD_HEADER.lower(), TARGET_HEADER.lower()}
 )
-_OWN_ANSWER_HEADERS = frozenset({"date", "server", "x-request-id", "x-node"})
+_EXCLUDED_ANSWER_HEADERS = frozenset(
+    {"date", "server", "x-request-id", "x-node"}
+)
 
 UNREACHABLE = CallerError(
     ErrorCode.TICKET_UNKNOWN,
@@ -29,11 +31,11 @@
 )
 
 
-class TicketDesk:
-    """The tickets of this incarnation and the runs that they are used for."""
+class TicketedRequestRunner:
+    """Runs a request at most once for each ticket of this incarnation."""
 
     def __init__(self, *, path: RequestPath) -> None:
-        """Starts without tickets.
+        """Create a runner without tickets.
 
         Args:
           path: request path of the node.
@@ -45,7 +47,7 @@
 
     @property
     def table(self) -> tickets.TicketTable:
-        """The tickets that this incarnation minted."""
+        """The tickets that this incarnation issued."""
         return self._table
 
     def mint(self) -> Ticket:
@@ -58,7 +60,7 @@
         )
 
     def is_own(self, ticket: TicketId) -> bool:
-        """Tells whether this incarnation minted a ticket."""
+        """Returns whether this incarnation issued a ticket."""
         return ticket.incarnation == self._context.incarnation
 
     async def answer(
@@ -71,10 +73,10 @@
         """Answers a request that carries a ticket of this incarnation.
 
         Args:
-          sequence: number of the ticket.
+          sequence: sequence number of the ticket.
           request: the request.
-          prepared: the request, checked.
-          sink: takes the answer.
+          prepared: the validated request.
+          sink: sink for the answer.
         """
         fingerprint = once.fingerprint(request)
         claim = self._table.claim(sequence, fingerprint, self._context.now())
@@ -93,25 +95,25 @@
             await self._runs.follow(sequence, request, sink)
 
     def _start(self, sequence: int, prepared: Prepared) -> None:
-        """Starts the one run of a ticket."""
+        """Starts the single run of a ticket."""
 
         def finish(outcome: Outcome, answer: RecordedAnswer | None) -> None:
             self._table.finish(sequence, outcome=outcome, answer=answer)
 
         self._runs.start(sequence, prepared, finish)
 
-    async def pass_on(
+    async def forward(
         self, ticket: TicketId, request: CallerRequest, sink: AnswerSink
     ) -> None:
-        """Passes a request to the node that minted its ticket.
+        """Forwards a request to the node that issued its ticket.
 
-        Nothing is known of what that node did before, so whatever goes wrong
-        leaves the outcome unknown.
+        That node may have run the request before, so the outcome is unknown
+        after any failure.
 
         Args:
           ticket: the ticket.
           request: the request.
-          sink: takes the answer.
+          sink: sink for the answer.
         """
         address = self._context.peer_address(ticket.incarnation)
         if address is None:
@@ -121,16 +123,16 @@
             method="POST",
             expected=(),
             sink=sink,
-            own_headers=_OWN_ANSWER_HEADERS,
+            own_headers=_EXCLUDED_ANSWER_HEADERS,
         )
         peer_request = make_peer_request(
             address, ticket, request, self._context.now()
         )
         transfer = Transfer(request=peer_request, receiver=receiver)
         sink.attach(transfer)
-        end = await self._path.transmit(transfer)
+        result = await self._path.transmit(transfer)
         sink.attach(None)
-        if end.head is None or end.error:
+        if result.head is None or result.error:
             once.fail(sink, UNREACHABLE)
         else:
             receiver.finish()
@@ -139,8 +141,10 @@
 def make_peer_request(
     address: str, ticket: TicketId, request: CallerRequest, now: float
 ) -> BackendRequest:
-    """Makes the request to the node that minted a ticket."""
-    headers = servicecalls.copy_headers(request.headers, _OWN_REQUEST_HEADERS)
+    """Makes the request to the node that issued a ticket."""
+    headers = servicecalls.copy_headers(
+        request.headers, _EXCLUDED_REQUEST_HEADERS
+    )
     headers.append((METHOD_HEADER, request.method))
     headers.append((TARGET_HEADER, request.target))
     return BackendRequest(
