--- a/chervilrock/edges/context.py
+++ b/chervilrock/edges/context.py
@@ -40,7 +40,7 @@
     @property
     @abc.abstractmethod
     def admission(self) -> "Admission":
-        """Admission control: decides which requests run, wait or fail."""
+        """Admission control: runs, queues or rejects requests."""
 
     @property
     @abc.abstractmethod
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -34,7 +34,7 @@
     """Runs a request at most once for each idempotency key."""
 
     def __init__(self, *, path: RequestPath) -> None:
-        """Create a runner without keys.
+        """Creates a runner without keys.
 
         Args:
           path: request path of the node.
--- a/chervilrock/edges/progress.py
+++ b/chervilrock/edges/progress.py
@@ -15,7 +15,7 @@
     """Measures the time since the last progress of an answer."""
 
     def __init__(self) -> None:
-        """Create a measurement for an answer without events."""
+        """Creates a measurement for an answer without events."""
         self._position = 0
         self._last_progress_at = 0.0
 
--- a/chervilrock/edges/recordings.py
+++ b/chervilrock/edges/recordings.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, *, max_bytes: int = MAX_ANSWER_BYTES) -> None:
-        """Create an empty recording.
+        """Creates an empty recording.
 
         Args:
           max_bytes: size limit of the recording; a larger answer is dropped.
--- a/chervilrock/edges/tickets.py
+++ b/chervilrock/edges/tickets.py
@@ -35,7 +35,7 @@
     """Runs a request at most once for each ticket of this incarnation."""
 
     def __init__(self, *, path: RequestPath) -> None:
-        """Create a runner without tickets.
+        """Creates a runner without tickets.
 
         Args:
           path: request path of the node.
