--- a/chervilrock/edges/progress.py
+++ b/chervilrock/edges/progress.py
@@ -30,7 +30,7 @@
 
         Args:
           position: number of events received so far.
-          paused: whether the transfer waits because the caller does not
+          held_back: whether the transfer is paused because the caller does not
             read.
           now: present time.
         """
