--- a/chervilrock/edges/callers.py
+++ b/chervilrock/edges/callers.py
@@ -159,7 +159,7 @@
             self.reject(prepared.failure())
             return
         self._sink = self.make_sink()
-        with self.path.hold():
+        with self.path.track_request():
             await self._answer_prepared(request, prepared.unwrap(), self._sink)
             await self._sink.drain(DRAIN_TIMEOUT_S)
 
--- a/chervilrock/edges/gate.py
+++ b/chervilrock/edges/gate.py
@@ -27,7 +27,7 @@
         """Number of waiting requests."""
         return len(self._waiting)
 
-    async def enter(self, request: RequestView) -> verdicts.Rejected | None:
+    async def acquire(self, request: RequestView) -> verdicts.Rejected | None:
         """Waits until a request is admitted or rejected.
 
         Returns:
@@ -45,7 +45,7 @@
         self._waiting[request.request_id] = decision
         return await decision
 
-    def leave(self, request_id: str, *, ok: bool, tokens: int) -> None:
+    def release(self, request_id: str, *, ok: bool, tokens: int) -> None:
         """Releases the slot of an admitted request and admits waiting ones.
 
         Args:
--- a/chervilrock/edges/once.py
+++ b/chervilrock/edges/once.py
@@ -97,7 +97,7 @@
         """Runs a request to its end even if its caller disconnects."""
         outcome = Outcome.UNKNOWN
         try:
-            with self._path.hold():
+            with self._path.track_request():
                 end = await prepared.make_run(recording).run()
             if end.error is not None:
                 outcome = end.error.outcome
--- a/chervilrock/edges/path.py
+++ b/chervilrock/edges/path.py
@@ -103,7 +103,7 @@
         return len(self._bodies)
 
     @contextlib.contextmanager
-    def hold(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Counts a request as in flight while the context is active."""
         self._in_flight += 1
         try:
--- a/chervilrock/edges/runs.py
+++ b/chervilrock/edges/runs.py
@@ -148,7 +148,7 @@
         """Sends the request until its answer is complete or it is given up."""
 
     async def _run_with_admission(self) -> RunResult:
-        rejected = await self._path.gate.enter(self.view)
+        rejected = await self._path.gate.acquire(self.view)
         if rejected is not None:
             return self._reject(rejected)
         ok = False
@@ -157,7 +157,7 @@
             ok = end is COMPLETE
             return end
         finally:
-            self._path.gate.leave(
+            self._path.gate.release(
                 self.view.request_id, ok=ok, tokens=self.count_tokens()
             )
 
--- a/chervilrock/edges/serving/callers.py
+++ b/chervilrock/edges/serving/callers.py
@@ -51,7 +51,7 @@
         exchange = Exchange(
             context=self._context, request=request, connection=answer
         )
-        connection.set_close_callback(exchange.leave)
+        connection.set_close_callback(exchange.cancel)
         task = asyncio.get_running_loop().create_task(self._run(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -152,7 +152,7 @@
             self._search.release()
             self._retry_reservation.release()
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Cancel the exchange after the caller has disconnected."""
         self._is_caller_gone = True
         self._search.is_cancelled = True
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -151,12 +151,12 @@
         return self._state
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether the node is the leader."""
         return self._task.is_leader
 
     @property
-    def relays(self) -> bool:
+    def is_relay(self) -> bool:
         """Whether the node relays announcements of the leader."""
         return self._task.is_relay
 
@@ -379,15 +379,15 @@
 
     def _answer_metrics(self, now: float) -> Reply:
         metrics = self._metrics
-        metrics.running.set(len(self._callers.exchanges))
-        metrics.waiting.set(len(self._waitqueue))
+        metrics.running_requests.set(len(self._callers.exchanges))
+        metrics.waiting_requests.set(len(self._waitqueue))
         metrics.leads.set(1 if self._task.is_leader else 0)
         metrics.show_hosts(self._task.host_counts)
         metrics.show_store_ages(self._task.list_store_ages(now))
         metrics.revision_age.set(self._task.find_revision_age(now))
         metrics.revision_lag.set(self._task.find_revision_lag(now))
-        metrics.limited.set(len(self._state.limits))
-        metrics.withheld.set(self._state.suspects.count_withheld())
+        metrics.limited_servers.set(len(self._state.limits))
+        metrics.withheld_suspects.set(self._state.suspects.count_withheld())
         metrics.lines_dropped.set(self._count_dropped_lines())
         routes = self._state.routes
         if routes is not None:
--- a/chervilrock/serving_metrics.py
+++ b/chervilrock/serving_metrics.py
@@ -67,8 +67,8 @@
             "Retries rejected by the retry budget",
             "service",
         )
-        self.running = self._gauge("served_running", "Requests in progress")
-        self.waiting = self._gauge("served_waiting", "Waiting requests")
+        self.running_requests = self._gauge("served_running", "Requests in progress")
+        self.waiting_requests = self._gauge("served_waiting", "Waiting requests")
         self.leads = self._gauge("leads", "1 while this node is the leader")
         self.revision = self._gauge("served_revision", "Revision in force")
         self.revision_age = self._gauge(
@@ -92,10 +92,10 @@
         self._needed = self._labelled_gauge(
             "groups_needed", "Groups needed for the demand", "model"
         )
-        self.limited = self._gauge(
+        self.limited_servers = self._gauge(
             "servers_limited", "Servers with a rate limit"
         )
-        self.withheld = self._gauge(
+        self.withheld_suspects = self._gauge(
             "suspects_withheld", "Requests withheld from servers"
         )
         self._withheld_requests = self._counter(
--- a/chervilrock/tasks/peers.py
+++ b/chervilrock/tasks/peers.py
@@ -168,7 +168,7 @@
         if self._error is not None:
             raise self._error
 
-    async def settle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until no exchange is in progress."""
         while self._running:
             await asyncio.gather(*self._running)
--- a/test/node/test_server_limits.py
+++ b/test/node/test_server_limits.py
@@ -120,11 +120,11 @@
         server = world.site.list_heads(LARGE)[0]
         server.limit = "20"
         await call_all_nodes(world)
-        leader = next(node for node in world.nodes if node.leads)
+        leader = next(node for node in world.nodes if node.is_leader)
         world.nodes.remove(leader)
         await leader.close()
         await world.wait(
-            lambda: any(node.leads for node in world.nodes), "a new leader"
+            lambda: any(node.is_leader for node in world.nodes), "a new leader"
         )
         limited = [
             limit.server
--- a/test/node/test_serving.py
+++ b/test/node/test_serving.py
@@ -309,7 +309,7 @@
         if rejected == "the leader":
             for first_node in world.nodes[:2]:
                 await first_node.close()
-            await world.wait(lambda: node.leads, "the third node leads")
+            await world.wait(lambda: node.is_leader, "the third node leads")
             world.nodes = [node]
             world.add_node()
             await world.wait(world.serves_all, "a fourth node serves")
@@ -332,7 +332,7 @@
             return all(len(node.state.nodes) == 10 for node in world.nodes)
 
         await world.wait(all_know_all, "all nodes know each other")
-        relays = [node for node in world.nodes if node.relays]
+        relays = [node for node in world.nodes if node.is_relay]
         assert_that(relays, HasLength(1))
         await relays[0].close()
         world.nodes.remove(relays[0])
@@ -340,12 +340,12 @@
         store.write_configuration(make_configuration(7, tenants=[]))
 
         def is_replaced() -> bool:
-            return any(node.relays for node in world.nodes) and all(
+            return any(node.is_relay for node in world.nodes) and all(
                 len(node.state.nodes) == 9 for node in world.nodes
             )
 
         await world.wait(is_replaced, "another node relays")
-        leaders = [node for node in world.nodes if node.leads]
+        leaders = [node for node in world.nodes if node.is_leader]
         assert_that(leaders, Equals(world.nodes[:1]))
 
     run_world(scenario)
@@ -467,10 +467,10 @@
 
 def test_another_node_leads_after_the_leader_has_closed() -> None:
     async def scenario(world: World) -> None:
-        leader = next(node for node in world.nodes if node.leads)
-        other = next(node for node in world.nodes if not node.leads)
+        leader = next(node for node in world.nodes if node.is_leader)
+        other = next(node for node in world.nodes if not node.is_leader)
         await leader.close()
-        await world.wait(lambda: other.leads, "another node leads")
+        await world.wait(lambda: other.is_leader, "another node leads")
         number = world.nodes.index(other)
         answer = await world.call("/draft/x", node=number)
         assert_that(answer.status, Equals(200))
@@ -495,7 +495,7 @@
         world.nodes.clear()
         restarted = world.restart_node(node)
         await world.wait(
-            lambda: restarted.leads, "the restarted node leads again"
+            lambda: restarted.is_leader, "the restarted node leads again"
         )
         assert_that(world.site.store.overtaken, Equals(0))
 
@@ -504,24 +504,24 @@
 
 def test_a_stopping_leader_hands_over_while_it_still_runs() -> None:
     async def scenario(world: World) -> None:
-        leader = next(node for node in world.nodes if node.leads)
-        other = next(node for node in world.nodes if not node.leads)
+        leader = next(node for node in world.nodes if node.is_leader)
+        other = next(node for node in world.nodes if not node.is_leader)
         leader.state.is_stopping = True
-        await world.wait(lambda: other.leads, "the other node leads")
-        await world.wait(lambda: not leader.leads, "the leader stepped down")
+        await world.wait(lambda: other.is_leader, "the other node leads")
+        await world.wait(lambda: not leader.is_leader, "the leader stepped down")
 
     run_world(scenario, nodes=2)
 
 
 def test_a_stopping_leader_leads_on_while_the_store_is_unavailable() -> None:
     async def scenario(world: World) -> None:
-        leader = next(node for node in world.nodes if node.leads)
+        leader = next(node for node in world.nodes if node.is_leader)
         others = [node for node in world.nodes if node is not leader]
         world.site.store.door.fault = StoreFault.BUSY
         stopping = asyncio.ensure_future(leader.stop())
         # Without the wait for another leader it would be closed by now.
         await asyncio.sleep(MIN_STOP_S + 0.5)
-        assert_that(leader.leads, Is(True))
+        assert_that(leader.is_leader, Is(True))
         ages = [read_clock() - node.state.view_time for node in others]
         assert_that(max(ages), LessThan(1.0))
         # A node that starts now must get its configuration from other nodes.
@@ -535,12 +535,12 @@
         world.site.store.door.fault = StoreFault.NONE
         await world.wait(
             lambda: any(
-                node.leads for node in world.nodes if node is not leader
+                node.is_leader for node in world.nodes if node is not leader
             ),
             "another node leads",
         )
         await stopping
-        assert_that(leader.leads, Is(False))
+        assert_that(leader.is_leader, Is(False))
 
     run_world(scenario, nodes=3)
 
--- a/test/node/test_store_copy.py
+++ b/test/node/test_store_copy.py
@@ -57,7 +57,7 @@
         await restore_store(world, 60.0)
 
         def has_one_leader() -> bool:
-            leaders = [node for node in world.nodes if node.leads]
+            leaders = [node for node in world.nodes if node.is_leader]
             terms = {node.state.view.term for node in world.nodes}
             return len(leaders) == 1 and len(terms) == 1
 
@@ -66,7 +66,7 @@
             return has_one_leader() and min(terms) > before
 
         await world.wait(has_one_leader, "one leader")
-        (leader,) = [node for node in world.nodes if node.leads]
+        (leader,) = [node for node in world.nodes if node.is_leader]
         await leader.close()
         world.nodes.remove(leader)
         await world.wait(has_newer_leader, "a leader with a greater term")
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -539,7 +539,7 @@
         if not connection.closed.is_set() and connection.has_begun:
             await connection.closed.wait()
         elif not connection.closed.is_set():
-            exchange.leave()
+            exchange.cancel()
         await running
         await asyncio.sleep(CALLER_ROUND_TRIP_S / 2)
         return connection
--- a/test/tasks/test_peers.py
+++ b/test/tasks/test_peers.py
@@ -111,9 +111,9 @@
             self.now += STEP_S
             for task in list(self.wire.tasks.values()):
                 task.begin()
-                await task.settle()
+                await task.wait_until_idle()
                 task.begin_immediate()
-                await task.settle()
+                await task.wait_until_idle()
 
     def see(self, name: str) -> list[str]:
         return sorted(p.node for p in self.tables[name].live(self.now))
@@ -248,7 +248,7 @@
         task._channel = Broken()
         task.begin()
         with pytest.raises(RuntimeError, match="broken"):
-            await task.settle()
+            await task.wait_until_idle()
         with pytest.raises(RuntimeError, match="broken"):
             task.raise_error()
 
