--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -128,7 +128,7 @@
     node = KeyNode(upstream=upstream, now=time.monotonic, log=log)
     path = RequestPath(context=node)
     stack.callback(path.close)
-    for work in node.list_work():
+    for work in node.list_coroutines():
         stack.callback(asyncio.create_task(work).cancel)
     sockets = bind_sockets(0, "127.0.0.1", reuse_port=False)
     server = HTTPServer(Application(make_caller_routes(node, path=path)))
--- a/bench/key_node.py
+++ b/bench/key_node.py
@@ -53,6 +53,6 @@
         """See base class."""
         self._keys.finish(name, outcome)
 
-    def list_work(self) -> tuple[Coroutine[Any, Any, None], ...]:
+    def list_coroutines(self) -> tuple[Coroutine[Any, Any, None], ...]:
         """Returns the work of the tasks, to be run in the event loop."""
         return (self._keys.run(), self._reader.run())
--- a/chervilrock/node/work.py
+++ b/chervilrock/node/coroutines.py
@@ -20,7 +20,7 @@
 Coroutines = dict[str, Coroutine[Any, Any, None]]
 
 
-def list_work(core: NodeCore, parts: NodeParts) -> Coroutines:
+def list_coroutines(core: NodeCore, parts: NodeParts) -> Coroutines:
     """Return the coroutine of each task by the name of the task."""
     return {
         **_list_region(core, parts),
--- a/chervilrock/node/entry.py
+++ b/chervilrock/node/entry.py
@@ -14,7 +14,7 @@
 from chervilrock.node.core import NodeCore
 from chervilrock.node.parts import build_parts
 from chervilrock.node.server import bind, make_server
-from chervilrock.node.work import list_work
+from chervilrock.node.coroutines import list_coroutines
 from chervilrock.tasks.clock import Clock, read_clock
 from chervilrock.tasks.region import LeaseGivenUp
 
@@ -87,7 +87,7 @@
         return self.address
 
     def _start_tasks(self) -> None:
-        for name, coroutine in list_work(self._core, self._parts).items():
+        for name, coroutine in list_coroutines(self._core, self._parts).items():
             task = asyncio.create_task(coroutine, name=name)
             task.add_done_callback(self._handle_task_end)
             self._tasks.append(task)
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -17,7 +17,7 @@
 from chervilrock.decisions.serving.view import GroupEndpoint, NodeEntry
 from chervilrock.edges.serving.callers import CallerEdge
 from chervilrock.edges.serving.exchange import Context
-from chervilrock.edges.serving.questions import Reply, SimpleEdge
+from chervilrock.edges.serving.simpleedge import Reply, SimpleEdge
 from chervilrock.events import emit, Event
 from chervilrock.metrics import CONTENT_TYPE
 from chervilrock.node.binding import bind_address, Binding
--- a/test/edges/test_repeat_claims.py
+++ b/test/edges/test_retry_reservations.py
@@ -7,7 +7,7 @@
 from testtools.matchers import Equals, Is
 
 from chervilrock.decisions.serving.view import NodeEntry
-from chervilrock.edges.serving.repeatclaim import RetryReservation
+from chervilrock.edges.serving.retryreservation import RetryReservation
 from chervilrock.tasks.serving.state import RetryBounds, ServingState
 
 SERVICE = "models"
--- a/test/node/test_serving.py
+++ b/test/node/test_serving.py
@@ -389,7 +389,7 @@
     run_world(scenario)
 
 
-def test_reads_that_a_silent_store_forgot_are_made_anew(
+def test_reads_lost_by_an_unresponsive_store_are_sent_again(
     log_lines: list[str],
 ) -> None:
     # Unless sent again, the lost reads end a second after the timeout of
