--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -233,7 +233,7 @@
             if not self._progress.sends or self._retry_reservation.reserve():
                 self._record_retry(end)
                 return True
-            self._context.metrics.count_refused_repeat(self._service)
+            self._context.metrics.count_rejected_retry(self._service)
             exchangelog.log_rejected_retry(self._describe_retry(end))
         self._give_up(end)
         return False
@@ -241,7 +241,7 @@
     def _record_retry(self, end: SendOutcome) -> None:
         exchangelog.log_retry(self._describe_retry(end))
         if self._progress.sends:
-            self._context.metrics.count_repeat(end.value)
+            self._context.metrics.count_retry(end.value)
         self._answer = None
 
     def _describe_retry(self, end: SendOutcome) -> exchangelog.Retry:
--- a/chervilrock/edges/serving/exchangelog.py
+++ b/chervilrock/edges/serving/exchangelog.py
@@ -10,7 +10,7 @@
 from chervilrock.edges.relay import TransferEnd
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.events import emit, Event
-from chervilrock.serving_metrics import RequestEnd
+from chervilrock.serving_metrics import CompletedRequest
 from chervilrock.tasks.serving.poisondetector import BrokenSend
 from chervilrock.tasks.serving.state import ServingState
 
@@ -145,7 +145,7 @@
     )
 
 
-def log_end(ended: EndedRequest) -> RequestEnd:
+def log_end(ended: EndedRequest) -> CompletedRequest:
     """Log the end of a request and return its values for the metrics."""
     arrived = ended.request.arrived
     admission = ended.admission
@@ -167,7 +167,7 @@
         total_ms=round((ended.now - arrived) * _MS_PER_S),
         revision=-1 if routes is None else routes.configuration.revision,
     )
-    return RequestEnd(
+    return CompletedRequest(
         service=ended.service,
         status=ended.status,
         seconds=ended.now - arrived,
--- a/chervilrock/events.py
+++ b/chervilrock/events.py
@@ -37,7 +37,7 @@
     JSON = "json"
 
 
-class _Output:
+class _LogConfiguration:
     """Log level and strictness of this process; global like loguru's logger."""
 
     level: Level = Level.DEBUG
@@ -58,7 +58,7 @@
     """
     if fields.keys() != event.fields:
         _report_mismatch(event, fields)
-    if event.level < _Output.level:
+    if event.level < _LogConfiguration.level:
         return
     bound = logger.bind(event=event, fields=fields)
     bound.log(event.level.name, render_text(event, fields))
@@ -123,8 +123,8 @@
     """
     formats = {LogFormat.TEXT: _format_text, LogFormat.JSON: _format_json}
     chosen = formats[LogFormat(log_format)]
-    _Output.level = Level[level]
-    _Output.strict = strict
+    _LogConfiguration.level = Level[level]
+    _LogConfiguration.strict = strict
     logger.remove()
     logger.add(
         sys.stderr if sink is None else sink,
@@ -154,7 +154,7 @@
 def _report_mismatch(event: Event, fields: dict[str, Any]) -> None:
     """Raises or logs an error about the fields of an event."""
     difference = ",".join(sorted(event.fields ^ fields.keys()))
-    if _Output.strict:
+    if _LogConfiguration.strict:
         raise ValueError(f"{event.title} has wrong fields: {difference}")
     emit(Event.EVENT_MALFORMED, event_name=event.title, difference=difference)
 
--- a/chervilrock/serving_metrics.py
+++ b/chervilrock/serving_metrics.py
@@ -17,7 +17,7 @@
 """Services with a label value of their own; further ones share `other`."""
 
 
-class RequestEnd(NamedTuple):
+class CompletedRequest(NamedTuple):
     """A completed request.
 
     Attributes:
@@ -106,7 +106,7 @@
             "log_lines_dropped", "Dropped log lines"
         )
 
-    def count_request(self, end: RequestEnd) -> None:
+    def count_request(self, end: CompletedRequest) -> None:
         """Count a completed request."""
         service = self._services.bound(end.service)
         self._requests.labels(service, str(end.status)).inc()
@@ -115,11 +115,11 @@
         if end.first_event_s is not None:
             self._first_events.labels(service).observe(end.first_event_s)
 
-    def count_repeat(self, reason: str) -> None:
+    def count_retry(self, reason: str) -> None:
         """Count a retry of a request, by the outcome that caused it."""
         self._retries.labels(reason).inc()
 
-    def count_refused_repeat(self, service: str) -> None:
+    def count_rejected_retry(self, service: str) -> None:
         """Count a retry that the retry budget rejected."""
         self._rejected_retries.labels(self._services.bound(service)).inc()
 
@@ -127,13 +127,13 @@
         """Count an attempt of a withheld request."""
         self._withheld_requests.inc()
 
-    def show_store_ages(self, ages: Mapping[str, float]) -> None:
+    def set_store_ages(self, ages: Mapping[str, float]) -> None:
         """Set the seconds since the last answer of the store, by topic."""
         self._store_ages.clear()
         for topic, age in ages.items():
             self._store_ages.labels(topic).set(age)
 
-    def show_hosts(self, counts: Iterable[ModelCount]) -> None:
+    def set_host_counts(self, counts: Iterable[ModelCount]) -> None:
         """Set the host and group counts; only the leader has any."""
         for gauge in (self._hosts, self._groups, self._needed):
             gauge.clear()
--- a/test/decisions/control/fakes.py
+++ b/test/decisions/control/fakes.py
@@ -6,7 +6,7 @@
 from chervilrock.generated.interfaces import EnginePhase, EngineShard, HostEntry
 from chervilrock.generated.records import StoredRecord
 
-STEP = 0.5
+STEP_S = 0.5
 LOAD_S = 3.0
 
 
@@ -68,7 +68,7 @@
             "shard": self.shard,
         }
 
-    def take(self, order):
+    def apply_order(self, order):
         if self.checks and order["fence"] < self.fence:
             return False
         self.fence = max(self.fence, order["fence"])
@@ -93,7 +93,7 @@
         if self.paused:
             return
         if self.phase == EnginePhase.LOADING:
-            self.load_left_s -= STEP
+            self.load_left_s -= STEP_S
             if self.load_left_s <= 0:
                 self.phase = EnginePhase.READY
         if self.phase == EnginePhase.READY and self.shard is not None:
--- a/test/decisions/control/test_controller.py
+++ b/test/decisions/control/test_controller.py
@@ -150,7 +150,7 @@
 
 def test_an_engine_that_does_not_unload_is_quarantined(start):
     world = start(checks=(False,) * 4)
-    world.engines["h0"].take = lambda order: True
+    world.engines["h0"].apply_order = lambda order: True
     world.apply(EMPTY)
     run(world, 50)
     region = world.nodes[0].region
--- a/test/decisions/control/world.py
+++ b/test/decisions/control/world.py
@@ -33,7 +33,7 @@
     ControllerRenewed,
     Record,
 )
-from test.decisions.control.fakes import Engine, Log, STEP
+from test.decisions.control.fakes import Engine, Log, STEP_S
 from test.decisions.control.oracle import (
     AGE_LIMIT_S,
     check_load,
@@ -347,7 +347,7 @@
         )
 
     def step(self):
-        self.now += STEP
+        self.now += STEP_S
         in_flight, self.orders_in_flight = self.orders_in_flight, []
         for due_at, node, effect in in_flight:
             if due_at > self.now:
@@ -373,7 +373,7 @@
             self.execute_order(engine, node, effect.order, sent_at)
 
     def execute_order(self, engine, node, order, sent_at):
-        accepted = engine.take(order)
+        accepted = engine.apply_order(order)
         if accepted and order.get("shard") is not None:
             check_load(self, engine.name, order["group"])
         if node is not None:
--- a/test/tasks/driven_region.py
+++ b/test/tasks/driven_region.py
@@ -24,7 +24,7 @@
 from chervilrock.tasks.orders import OrderTask
 from chervilrock.tasks.outages import OutageLog
 from chervilrock.tasks.region import RegionIdentity, RegionPorts, RegionTask
-from test.decisions.control.fakes import Engine, Log, STEP
+from test.decisions.control.fakes import Engine, Log, STEP_S
 
 STREAM = "region.r"
 PRESENCE_LIMIT_S = 3.0
@@ -121,7 +121,7 @@
 
     def step(self):
         """Advance by one step, with one probe per engine and one read."""
-        self.now += STEP
+        self.now += STEP_S
         for name, engine in self.engines.items():
             engine.step(self.now)
             if name not in self.unresponsive:
@@ -141,7 +141,7 @@
         for request in self.ports.orders.inbox.receive_waiting():
             engine = self.engines[request.host]
             if request.host not in self.unresponsive:
-                accepted = engine.take(request.order)
+                accepted = engine.apply_order(request.order)
                 self.task.inbox.offer(
                     OrderAnswered(
                         request.host,
--- a/test/test_events.py
+++ b/test/test_events.py
@@ -44,8 +44,8 @@
     yield io.StringIO()
     logger.remove()
     logging.root.handlers[:] = handlers
-    events._Output.level = Level.DEBUG
-    events._Output.strict = True
+    events._LogConfiguration.level = Level.DEBUG
+    events._LogConfiguration.strict = True
 
 
 @pytest.fixture(scope="module")
--- a/test/ui/test_serve_command.py
+++ b/test/ui/test_serve_command.py
@@ -46,8 +46,8 @@
     yield settings
     logger.remove()
     logging.root.handlers[:] = handlers
-    events._Output.level = Level.DEBUG
-    events._Output.strict = True
+    events._LogConfiguration.level = Level.DEBUG
+    events._LogConfiguration.strict = True
 
 
 def list_flags(**changes: str) -> list[str]:
