--- a/bench/control.py
+++ b/bench/control.py
@@ -201,9 +201,9 @@
         group = groups[name]
         planner.put_group(group._replace(missing_since=NOW_S - LATER_S))
         begin = time.process_time()
-        planner.lose_host(name, NOW_S)
+        planner.handle_lost_host(name, NOW_S)
         taken.append(time.process_time() - begin)
-        planner.gain_host(by_name[name], NOW_S)
+        planner.handle_returned_host(by_name[name], NOW_S)
         planner.put_group(group)
     return Timing(
         round(1000 * statistics.median(taken), 3),
--- a/chervilrock/decisions/planner/evaluation.py
+++ b/chervilrock/decisions/planner/evaluation.py
@@ -2,12 +2,12 @@
 
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.estimates import estimate_load
-from chervilrock.decisions.planner.knowledge import (
+from chervilrock.decisions.planner.context import (
     estimate_group_worth,
     PlanContext,
 )
-from chervilrock.decisions.planner.options import Alternative, Treatment
-from chervilrock.decisions.planner.scene import Subproblem
+from chervilrock.decisions.planner.alternatives import Alternative, Treatment
+from chervilrock.decisions.planner.subproblem import Subproblem
 
 _SWITCHING_COST_FRACTION = 0.1
 """Extra cost of dissolving a whole group, relative to forming it again."""
--- a/chervilrock/decisions/planner/order.py
+++ b/chervilrock/decisions/planner/order.py
@@ -14,7 +14,7 @@
     RepairGroup,
 )
 from chervilrock.decisions.planner.draft import Draft
-from chervilrock.decisions.planner.knowledge import (
+from chervilrock.decisions.planner.context import (
     estimate_group_worth,
     PlanContext,
 )
--- a/chervilrock/decisions/planner/planner.py
+++ b/chervilrock/decisions/planner/planner.py
@@ -12,7 +12,7 @@
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.estimates import LoadTimes
 from chervilrock.decisions.planner.inventory import domain_of, Inventory
-from chervilrock.decisions.planner.knowledge import PlanContext
+from chervilrock.decisions.planner.context import PlanContext
 from chervilrock.decisions.planner.loads import LoadHistory
 from chervilrock.decisions.planner.order import order_actions
 from chervilrock.decisions.planner.policy import (
@@ -81,7 +81,7 @@
         decide(draft, context, may_rearrange=self._may_rearrange)
         return order_actions(draft, context)
 
-    def lose_host(self, name: str, now: float) -> tuple[Action, ...]:
+    def handle_lost_host(self, name: str, now: float) -> tuple[Action, ...]:
         """Records that a host is missing, and plans the repair of its group.
 
         Args:
@@ -114,7 +114,7 @@
         )
         return tuple(draft.actions)
 
-    def gain_host(self, host: HostView, now: float) -> tuple[Action, ...]:
+    def handle_returned_host(self, host: HostView, now: float) -> tuple[Action, ...]:
         """Records that a host is present, and plans for its fabric domain.
 
         Args:
--- a/chervilrock/decisions/planner/policy.py
+++ b/chervilrock/decisions/planner/policy.py
@@ -11,7 +11,7 @@
     form_in_domain,
     list_candidates,
 )
-from chervilrock.decisions.planner.knowledge import (
+from chervilrock.decisions.planner.context import (
     estimate_group_worth,
     PlanContext,
 )
--- a/chervilrock/decisions/planner/rearrangement.py
+++ b/chervilrock/decisions/planner/rearrangement.py
@@ -19,8 +19,8 @@
     estimate_value,
     is_premature,
 )
-from chervilrock.decisions.planner.knowledge import PlanContext
-from chervilrock.decisions.planner.options import (
+from chervilrock.decisions.planner.context import PlanContext
+from chervilrock.decisions.planner.alternatives import (
     Alternative,
     list_alternatives,
     list_alternatives_in_place,
@@ -28,7 +28,7 @@
     Treatment,
 )
 from chervilrock.decisions.planner.packing import pack
-from chervilrock.decisions.planner.scene import (
+from chervilrock.decisions.planner.subproblem import (
     list_last_serving,
     make_subproblem,
     Subproblem,
--- a/test/decisions/planner/test_plan_safety.py
+++ b/test/decisions/planner/test_plan_safety.py
@@ -193,8 +193,8 @@
     hosts = tuple(changed if h is host else h for h in view.hosts)
     after = view._replace(hosts=hosts, groups=groups)
     if host.present:
-        return after, planner.lose_host(name, now)
-    return after, planner.gain_host(changed, now)
+        return after, planner.handle_lost_host(name, now)
+    return after, planner.handle_returned_host(changed, now)
 
 
 def _change_group(group, host, now):
--- a/test/decisions/planner/test_rearrangement.py
+++ b/test/decisions/planner/test_rearrangement.py
@@ -96,7 +96,7 @@
     planner = Planner()
     planner.plan(before, 0.0)
     planner.put_group(whole._replace(missing_since=0.0))
-    names = _list_names(planner.lose_host("h0", _LONG_ABSENCE_S))
+    names = _list_names(planner.handle_lost_host("h0", _LONG_ABSENCE_S))
     assert_that(
         names, Equals(_list_names(make_plan(crowded_view, _LONG_ABSENCE_S)))
     )
