--- a/chervilrock/decisions/outage.py
+++ b/chervilrock/decisions/outage.py
@@ -63,7 +63,7 @@
     hosts: Iterable[HostEntry],
     pending: Progress,
     lease: LeaseView,
-    out_since: float | None,
+    outage_since: float | None,
     now: float,
     timing: OutageTiming = _DEFAULT_TIMING,
 ) -> tuple[SendOrder, ...]:
@@ -81,7 +81,7 @@
       now: current time in seconds.
       timing: waiting times.
     """
-    if out_since is None or now < out_since + timing.out_after_s:
+    if outage_since is None or now < outage_since + timing.out_after_s:
         return ()
     if region.epoch == 0 or lease.granted_epoch != region.epoch:
         return ()
--- a/chervilrock/tasks/region_control.py
+++ b/chervilrock/tasks/region_control.py
@@ -21,7 +21,7 @@
 from chervilrock.tasks.loads import GroupLoad
 from chervilrock.tasks.messages import BatchAppended, OrderAnswered
 from chervilrock.tasks.orders import OrderRequest
-from chervilrock.tasks.pace import DecisionSchedule
+from chervilrock.tasks.decisionschedule import DecisionSchedule
 from chervilrock.tasks.region_messages import RegionFacts, RegionPorts
 
 REPLAN_S = 60.0
@@ -93,7 +93,7 @@
         self._idle.record_load(message)
 
     def control(
-        self, facts: RegionFacts, out_since: float | None, now: float
+        self, facts: RegionFacts, outage_since: float | None, now: float
     ) -> None:
         """Append records and send orders, if a decision is due.
 
@@ -105,11 +105,11 @@
         if not self._decision_schedule.is_due(now):
             return
         started_at = self._clock()
-        has_work = out_since is not None or is_in_transition(facts)
+        has_work = outage_since is not None or is_in_transition(facts)
         if facts.lease.may_act(now):
             has_work |= self._control_leased(facts, now)
-        if out_since is not None:
-            self._control_outage(facts, out_since, now)
+        if outage_since is not None:
+            self._control_outage(facts, outage_since, now)
         cost_s = self._clock() - started_at
         self._decision_schedule.record_decided(
             now, cost_s=cost_s, has_work=has_work
@@ -125,7 +125,7 @@
         return bool(effects)
 
     def _control_outage(
-        self, facts: RegionFacts, out_since: float, now: float
+        self, facts: RegionFacts, outage_since: float, now: float
     ) -> None:
         """Send the orders that earlier grants allow without the log."""
         orders = decide_outage(
@@ -134,7 +134,7 @@
             hosts=facts.hosts.values(),
             pending=self._progress,
             lease=facts.lease,
-            out_since=out_since,
+            outage_since=outage_since,
             now=now,
         )
         for order in orders:
--- a/test/decisions/control/world.py
+++ b/test/decisions/control/world.py
@@ -200,7 +200,7 @@
             hosts=hosts,
             pending=self.progress,
             lease=self.lease,
-            out_since=self.read_at if out else None,
+            outage_since=self.read_at if out else None,
             now=now,
             timing=OUTAGE,
         )
--- a/test/tasks/test_pace.py
+++ b/test/tasks/test_decisionschedule.py
@@ -4,7 +4,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from chervilrock.tasks.pace import (
+from chervilrock.tasks.decisionschedule import (
     BURST_S,
     DecisionSchedule,
     IDLE_INTERVAL_S,
