--- a/bench/relay_context.py
+++ b/bench/relay_context.py
@@ -130,7 +130,7 @@
         """See base class."""
         return self._endpoints
 
-    def holds(self, endpoint: Endpoint, now: float) -> bool:
+    def keeps_attempts(self, endpoint: Endpoint, now: float) -> bool:
         """See base class."""
         return True
 
--- a/chervilrock/edges/callers.py
+++ b/chervilrock/edges/callers.py
@@ -6,9 +6,9 @@
 from tornado import routing, web
 
 from chervilrock.decisions.requests.tickets import parse_ticket
-from chervilrock.edges import dispatch, once
+from chervilrock.edges import dispatch, detachedruns
 from chervilrock.edges.context import RequestContext
-from chervilrock.edges.dispatch import CallerRequest, Prepared
+from chervilrock.edges.dispatch import CallerRequest, PreparedRequest
 from chervilrock.edges.errors import CallerError, ErrorCode
 from chervilrock.edges.handlers import (
     BodyHandler,
@@ -111,7 +111,7 @@
     def post(self) -> None:
         """Answers with a new ticket."""
         if self.path.context.leaving:
-            self.reject(once.LEAVING)
+            self.reject(detachedruns.LEAVING)
             return
         self.write_json(self.state.tickets.mint())
 
@@ -129,7 +129,7 @@
         if self._sink is not None:
             self._sink.close()
         if self._run is not None:
-            self._run.leave()
+            self._run.cancel()
 
     def get_outcome(self) -> Outcome:
         """See base class."""
@@ -170,7 +170,7 @@
         return ()
 
     async def _answer_prepared(
-        self, request: CallerRequest, prepared: Prepared, sink: CallerSink
+        self, request: CallerRequest, prepared: PreparedRequest, sink: CallerSink
     ) -> None:
         key = request.parsed.key
         ticket = parse_ticket(key)
@@ -226,7 +226,7 @@
             message = "the path and the header Idempotency-Key differ"
             self.reject(CallerError(ErrorCode.BAD_REQUEST, message))
         elif not self.state.tickets.is_own(ticket):
-            self.reject(once.FORGOTTEN)
+            self.reject(detachedruns.FORGOTTEN)
         else:
             await self.answer(
                 headers.get(METHOD_HEADER, ""), headers.get(TARGET_HEADER, "")
--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -80,7 +80,7 @@
 
     def check_transfer(self, transfer: Transfer, now: float) -> None:
         """See base class."""
-        if self._endpoint is not None and not transfer.held_back:
+        if self._endpoint is not None and not transfer.was_paused:
             tokens = self._position - self._send_start
             self._observer.record_progress(self._endpoint, tokens, now)
         stall_s = self._progress.measure_silence(
@@ -102,7 +102,7 @@
                 return True
         if stall_s <= progress.GROUP_LOST_S or self._endpoint is None:
             return False
-        return not self._path.holds(self._endpoint)
+        return not self._path.keeps_attempts(self._endpoint)
 
     async def run_admitted(self) -> RunResult:
         """See base class."""
@@ -183,7 +183,7 @@
         self._observer.record_sent(endpoint, now)
         end = receiver.judge(await self._transmit(transfer))
         self._error_reply = receiver.error_reply
-        tokens = 0 if transfer.held_back else self._position - self._send_start
+        tokens = 0 if transfer.was_paused else self._position - self._send_start
         self._observer.record_end(endpoint, end, self._error_reply, tokens)
         return end
 
@@ -243,7 +243,7 @@
             number=send.number,
             end=end,
             position=self._position,
-            target_has_attempt=self._path.holds(endpoint),
+            target_has_attempt=self._path.keeps_attempts(endpoint),
             continuable=partial is not None,
         )
         decision = self._tracker.finish(report, self._context.now())
--- a/chervilrock/edges/context.py
+++ b/chervilrock/edges/context.py
@@ -86,7 +86,7 @@
         """
 
     @abc.abstractmethod
-    def holds(self, endpoint: "Endpoint", now: float) -> bool:
+    def keeps_attempts(self, endpoint: "Endpoint", now: float) -> bool:
         """Returns whether a group still processes its running attempts.
 
         It does as long as all its members are present under the same fencing
--- a/chervilrock/edges/once.py
+++ b/chervilrock/edges/detachedruns.py
@@ -10,7 +10,7 @@
     RecordedAnswer,
 )
 from chervilrock.edges import recordings
-from chervilrock.edges.dispatch import CallerRequest, Prepared
+from chervilrock.edges.dispatch import CallerRequest, PreparedRequest
 from chervilrock.edges.errors import CallerError, ErrorCode
 from chervilrock.edges.path import RequestPath
 from chervilrock.edges.recordings import RecordingSink
@@ -44,7 +44,7 @@
 LEAVING = CallerError(ErrorCode.LEAVING, "this node is leaving")
 
 
-class OnceRuns(Generic[RunName]):
+class DetachedRuns(Generic[RunName]):
     """The runs in progress of requests that must run only once."""
 
     def __init__(self, *, path: RequestPath) -> None:
@@ -57,7 +57,7 @@
         self._recordings: dict[RunName, RecordingSink] = {}
 
     def start(
-        self, name: RunName, prepared: Prepared, finish: FinishCallback
+        self, name: RunName, prepared: PreparedRequest, finish: FinishCallback
     ) -> None:
         """Starts a run.
 
@@ -90,7 +90,7 @@
     async def _run(
         self,
         name: RunName,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         recording: RecordingSink,
         finish: FinishCallback,
     ) -> None:
--- a/chervilrock/edges/dispatch.py
+++ b/chervilrock/edges/dispatch.py
@@ -48,7 +48,7 @@
     deadline: float
 
 
-class Prepared(NamedTuple):
+class PreparedRequest(NamedTuple):
     """A validated request that is ready to run.
 
     Attributes:
@@ -62,7 +62,7 @@
 
 def prepare(
     path: RequestPath, request: CallerRequest
-) -> Result[Prepared, CallerError]:
+) -> Result[PreparedRequest, CallerError]:
     """Validates a request and determines what it asks for.
 
     Args:
@@ -84,7 +84,7 @@
 
 def _prepare_completion(
     path: RequestPath, request: CallerRequest, *, chat: bool
-) -> Result[Prepared, CallerError]:
+) -> Result[PreparedRequest, CallerError]:
     parsed = bodies.parse_completion(request.body, chat=chat)
     if isinstance(parsed, Failure):
         message = format_findings(parsed.failure())
@@ -104,7 +104,7 @@
             sink=sink,
         )
 
-    return Success(Prepared(view, make_run))
+    return Success(PreparedRequest(view, make_run))
 
 
 def check_model(
@@ -143,7 +143,7 @@
 
 def _prepare_service(
     path: RequestPath, request: CallerRequest
-) -> Result[Prepared, CallerError]:
+) -> Result[PreparedRequest, CallerError]:
     name, target = split_service_target(request.target)
     spec = path.context.service_spec(name)
     if spec is None:
@@ -164,7 +164,7 @@
     def make_run(sink: AnswerSink) -> BackendRun:
         return ServiceRun(path=path, view=view, call=call, sink=sink)
 
-    return Success(Prepared(view, make_run))
+    return Success(PreparedRequest(view, make_run))
 
 
 def split_service_target(target: str) -> tuple[str, str]:
--- a/chervilrock/edges/enginecalls.py
+++ b/chervilrock/edges/enginecalls.py
@@ -122,7 +122,7 @@
         self._error_body = b""
         self.error_reply = ErrorReply()
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """See base class."""
         self._head = head
         present = {(name.lower(), value) for name, value in head.headers}
@@ -130,15 +130,15 @@
             head.status in _SUCCESSES and self._expected <= present
         )
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """See base class."""
         if self._matches_send:
-            self.take_answer(data)
+            self.handle_answer(data)
         elif len(self._error_body) < MAX_ERROR_BYTES:
             self._error_body += data
 
     @abc.abstractmethod
-    def take_answer(self, data: bytes) -> None:
+    def handle_answer(self, data: bytes) -> None:
         """Handles bytes of an answer whose headers match this send."""
 
     @abc.abstractmethod
@@ -198,7 +198,7 @@
             request_id=view.request_id, after=send.after
         )
 
-    def take_answer(self, data: bytes) -> None:
+    def handle_answer(self, data: bytes) -> None:
         """See base class."""
         events = self.positions.feed(data)
         if events:
@@ -249,7 +249,7 @@
         self.body = b""
         self.tokens = 0
 
-    def take_answer(self, data: bytes) -> None:
+    def handle_answer(self, data: bytes) -> None:
         """See base class."""
         self._chunks.append(data)
         self._size += len(data)
--- a/chervilrock/edges/handlers.py
+++ b/chervilrock/edges/handlers.py
@@ -134,7 +134,7 @@
         connection = self.request.connection
         assert isinstance(connection, HTTP1Connection)
         connection.set_max_body_size(self._compute_max_drain_bytes())
-        self.path.await_body(self)
+        self.path.track_body(self)
 
     def data_received(self, chunk: bytes) -> None:
         """Buffers a chunk, or drops the body once it exceeds the limit."""
@@ -146,15 +146,15 @@
 
     def on_finish(self) -> None:
         """Stops the timeout check of the body."""
-        self.path.forget_body(self)
+        self.path.untrack_body(self)
 
     def on_connection_close(self) -> None:
         """Stops the timeout check after the caller has disconnected."""
-        self.path.forget_body(self)
+        self.path.untrack_body(self)
 
     def collect_body(self) -> bytes | None:
         """Returns the body, or None if the request has been rejected."""
-        self.path.forget_body(self)
+        self.path.untrack_body(self)
         if self._finished:
             return None
         if self._body_size > self.state.limits.max_bytes:
@@ -212,7 +212,7 @@
         """Rejects the request if its body has not arrived in time."""
         if now - self.arrived_at < self.state.limits.timeout_s:
             return
-        self.path.forget_body(self)
+        self.path.untrack_body(self)
         if not self._finished:
             message = "the body did not come in time"
             self.reject(CallerError(ErrorCode.BODY_TIMEOUT, message))
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -8,8 +8,8 @@
     ClaimKind,
     RecordedAnswer,
 )
-from chervilrock.edges import once
-from chervilrock.edges.dispatch import CallerRequest, Prepared
+from chervilrock.edges import detachedruns
+from chervilrock.edges.dispatch import CallerRequest, PreparedRequest
 from chervilrock.edges.errors import CallerError, ErrorCode
 from chervilrock.edges.path import RequestPath
 from chervilrock.edges.sinks import AnswerSink
@@ -43,13 +43,13 @@
         self._registry: runregistry.RunRegistry[KeyName] = (
             runregistry.RunRegistry()
         )
-        self._runs: once.OnceRuns[KeyName] = once.OnceRuns(path=path)
+        self._runs: detachedruns.DetachedRuns[KeyName] = detachedruns.DetachedRuns(path=path)
 
     async def answer(
         self,
         key: str,
         request: CallerRequest,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         sink: AnswerSink,
     ) -> None:
         """Answers a request that carries a key.
@@ -61,10 +61,10 @@
           sink: sink for the answer.
         """
         name = KeyName(request.parsed.workspace, key)
-        fingerprint = once.fingerprint(request)
+        fingerprint = detachedruns.fingerprint(request)
         claim = self._registry.find(name, fingerprint)
         if claim is None and self._context.leaving:
-            once.fail(sink, once.LEAVING)
+            detachedruns.fail(sink, detachedruns.LEAVING)
             return
         if claim is None:
             verdict = await self._context.claim_key(name)
@@ -81,7 +81,7 @@
         name: KeyName,
         fingerprint: int,
         verdict: KeyVerdict,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         sink: AnswerSink,
     ) -> Claim:
         """Runs the request if the verdict grants its key."""
@@ -107,13 +107,13 @@
         if claim.kind is ClaimKind.JOIN:
             await self._runs.follow(name, request, sink)
         elif claim.kind is ClaimKind.REPLAY:
-            once.replay(claim, sink)
+            detachedruns.replay(claim, sink)
         elif claim.kind is ClaimKind.MISMATCH:
-            once.fail(sink, once.MISMATCH)
+            detachedruns.fail(sink, detachedruns.MISMATCH)
         elif claim.kind is ClaimKind.FORGOTTEN:
-            once.fail(sink, once.FORGOTTEN)
+            detachedruns.fail(sink, detachedruns.FORGOTTEN)
 
-    def _start(self, name: KeyName, prepared: Prepared) -> None:
+    def _start(self, name: KeyName, prepared: PreparedRequest) -> None:
         """Starts the single run of a key."""
 
         def finish(outcome: Outcome, answer: RecordedAnswer | None) -> None:
--- a/chervilrock/edges/path.py
+++ b/chervilrock/edges/path.py
@@ -129,12 +129,12 @@
         """Stops the checks of a run."""
         self._runs.discard(run)
 
-    def await_body(self, reader: BodyReader) -> None:
+    def track_body(self, reader: BodyReader) -> None:
         """Starts periodic checks of a request body that is being received."""
         self._bodies.add(reader)
         self._schedule_sweep()
 
-    def forget_body(self, reader: BodyReader) -> None:
+    def untrack_body(self, reader: BodyReader) -> None:
         """Stops the checks of a request body."""
         self._bodies.discard(reader)
 
@@ -148,9 +148,9 @@
         """Requests an engine to stop an attempt that is no longer needed."""
         self.start_task(self.context.engine.cancel(address, attempt))
 
-    def holds(self, endpoint: Endpoint) -> bool:
+    def keeps_attempts(self, endpoint: Endpoint) -> bool:
         """Returns whether a group still runs the attempts that it was sent."""
-        return self.context.holds(endpoint, self.context.now())
+        return self.context.keeps_attempts(endpoint, self.context.now())
 
     async def transmit(self, transfer: Transfer) -> TransferEnd:
         """Runs a transfer to its end."""
--- a/chervilrock/edges/progress.py
+++ b/chervilrock/edges/progress.py
@@ -24,7 +24,7 @@
         self._last_progress_at = now
 
     def measure_silence(
-        self, position: int, held_back: bool, now: float
+        self, position: int, paused: bool, now: float
     ) -> float:
         """Returns the time in seconds since the last progress.
 
@@ -34,7 +34,7 @@
             read.
           now: present time.
         """
-        if position != self._position or held_back:
+        if position != self._position or paused:
             self._position = position
             self._last_progress_at = now
         return now - self._last_progress_at
--- a/chervilrock/edges/recordings.py
+++ b/chervilrock/edges/recordings.py
@@ -113,11 +113,11 @@
             follower.fail(error, may_retry=may_retry)
         self._end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Aborts the followers that read too slowly; the run continues."""
         for follower in list(self._followers):
             if follower.blocked_since is not None:
-                follower.cut()
+                follower.abort()
                 self.unfollow(follower)
 
     def attach(self, transfer: Transfer | None) -> None:
--- a/chervilrock/edges/relay.py
+++ b/chervilrock/edges/relay.py
@@ -68,11 +68,11 @@
     """
 
     @abc.abstractmethod
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Handles the head of the answer; called once, before any data."""
 
     @abc.abstractmethod
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Handles the next bytes of the body."""
 
 
@@ -123,7 +123,7 @@
         self._repeated = False
         self.sent = False
         self.head: Head | None = None
-        self.held_back = False
+        self.was_paused = False
 
     async def run(self, client: CurlAsyncHTTPClient) -> TransferEnd:
         """Sends the request and waits for the end of its answer."""
@@ -162,7 +162,7 @@
     def pause(self) -> None:
         """Stops reading from the backend server until `resume`."""
         self._paused = True
-        self.held_back = True
+        self.was_paused = True
 
     def resume(self) -> None:
         """Continues reading from the backend server."""
@@ -222,7 +222,7 @@
         try:
             if self.head is None:
                 self._parse_head_lines()
-            self._receiver.take_data(data)
+            self._receiver.handle_data(data)
         finally:
             self._in_callback = False
         return _ABORT if self._abandoned else len(data)
@@ -232,7 +232,7 @@
         if self.head is None:
             self.head = parse_head(self._head_lines)
             if self.head is not None and not self._abandoned:
-                self._receiver.take_head(self.head)
+                self._receiver.handle_head(self.head)
 
     def _unpause(self, curl: pycurl.Curl) -> None:
         try:
--- a/chervilrock/edges/runs.py
+++ b/chervilrock/edges/runs.py
@@ -125,7 +125,7 @@
         )
         return end
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Stops the run because its answer is no longer needed."""
         self._cancelled = True
         self._path.gate.withdraw(self.view.request_id)
@@ -135,7 +135,7 @@
         """See base class."""
         blocked_since = self._sink.blocked_since
         if blocked_since is not None and now - blocked_since > CALLER_STALL_S:
-            self._sink.cut()
+            self._sink.abort()
         elif self._transfer is not None and not self._cancelled:
             self.check_transfer(self._transfer, now)
 
--- a/chervilrock/edges/servicecalls.py
+++ b/chervilrock/edges/servicecalls.py
@@ -177,7 +177,7 @@
         self.error_reply = ErrorReply()
         self.started = False
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """See base class."""
         self._head = head
         self._matches_send = all(
@@ -186,7 +186,7 @@
         if self._is_stream() and self._judge_head() is AttemptEnd.COMPLETE:
             self._start()
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """See base class."""
         if self.started:
             self._sink.write(data)
--- a/chervilrock/edges/services.py
+++ b/chervilrock/edges/services.py
@@ -68,14 +68,14 @@
     def check_transfer(self, transfer: Transfer, now: float) -> None:
         """See base class."""
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """See base class.
 
         A call that must not run twice is not aborted while it runs, because
         its caller may query its effect later.
         """
         if self.view.idempotent or self._transfer is None:
-            super().leave()
+            super().cancel()
 
     async def run_admitted(self) -> RunResult:
         """See base class."""
--- a/chervilrock/edges/serving/receiver.py
+++ b/chervilrock/edges/serving/receiver.py
@@ -62,7 +62,7 @@
         """Return the seconds since the head was received, None without one."""
         return None if self._head_at is None else now - self._head_at
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """See base class."""
         self._head = head
         self._head_at = read_clock()
@@ -76,7 +76,7 @@
         self._record_facts(self.facts)
         self._progress()
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """See base class."""
         self._progress()
         if not self.is_relayed:
--- a/chervilrock/edges/sinks.py
+++ b/chervilrock/edges/sinks.py
@@ -79,7 +79,7 @@
         """
 
     @abc.abstractmethod
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Drops the rest so that the caller can detect a broken answer."""
 
     @abc.abstractmethod
@@ -176,9 +176,9 @@
             self.write(errors.make_event(error, self._request_id))
             self.finish()
         else:
-            self.cut()
+            self.abort()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """See base class."""
         self._closed = True
         self._stream.close()
@@ -199,7 +199,7 @@
             return_when=asyncio.FIRST_COMPLETED,
         )
         if not self._finished.done():
-            self.cut()
+            self.abort()
 
     def close(self) -> None:
         """Records that the caller has disconnected."""
--- a/chervilrock/edges/tickets.py
+++ b/chervilrock/edges/tickets.py
@@ -3,8 +3,8 @@
 from chervilrock.decisions.requests import tickets
 from chervilrock.decisions.requests.runregistry import ClaimKind, RecordedAnswer
 from chervilrock.decisions.requests.tickets import TicketId
-from chervilrock.edges import once, servicecalls
-from chervilrock.edges.dispatch import CallerRequest, Prepared
+from chervilrock.edges import detachedruns, servicecalls
+from chervilrock.edges.dispatch import CallerRequest, PreparedRequest
 from chervilrock.edges.errors import CallerError, ErrorCode
 from chervilrock.edges.path import RequestPath
 from chervilrock.edges.relay import BackendRequest, Transfer
@@ -43,7 +43,7 @@
         self._path = path
         self._context = path.context
         self._table = tickets.TicketTable()
-        self._runs: once.OnceRuns[int] = once.OnceRuns(path=path)
+        self._runs: detachedruns.DetachedRuns[int] = detachedruns.DetachedRuns(path=path)
 
     @property
     def table(self) -> tickets.TicketTable:
@@ -67,7 +67,7 @@
         self,
         sequence: int,
         request: CallerRequest,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         sink: AnswerSink,
     ) -> None:
         """Answers a request that carries a ticket of this incarnation.
@@ -78,23 +78,23 @@
           prepared: the validated request.
           sink: sink for the answer.
         """
-        fingerprint = once.fingerprint(request)
+        fingerprint = detachedruns.fingerprint(request)
         claim = self._table.claim(sequence, fingerprint, self._context.now())
         if claim.kind is ClaimKind.FORGOTTEN:
-            once.fail(sink, once.FORGOTTEN)
+            detachedruns.fail(sink, detachedruns.FORGOTTEN)
         elif claim.kind is ClaimKind.MISMATCH:
-            once.fail(sink, once.MISMATCH)
+            detachedruns.fail(sink, detachedruns.MISMATCH)
         elif claim.kind is ClaimKind.REPLAY:
-            once.replay(claim, sink)
+            detachedruns.replay(claim, sink)
         elif claim.kind is ClaimKind.RUN and self._context.leaving:
             self._table.finish(sequence, outcome=Outcome.NOT_RUN)
-            once.fail(sink, once.LEAVING)
+            detachedruns.fail(sink, detachedruns.LEAVING)
         else:
             if claim.kind is ClaimKind.RUN:
                 self._start(sequence, prepared)
             await self._runs.follow(sequence, request, sink)
 
-    def _start(self, sequence: int, prepared: Prepared) -> None:
+    def _start(self, sequence: int, prepared: PreparedRequest) -> None:
         """Starts the single run of a ticket."""
 
         def finish(outcome: Outcome, answer: RecordedAnswer | None) -> None:
@@ -117,7 +117,7 @@
         """
         address = self._context.peer_address(ticket.incarnation)
         if address is None:
-            once.fail(sink, once.FORGOTTEN)
+            detachedruns.fail(sink, detachedruns.FORGOTTEN)
             return
         receiver = ServiceReceiver(
             method="POST",
@@ -133,7 +133,7 @@
         result = await self._path.transmit(transfer)
         sink.attach(None)
         if result.head is None or result.error:
-            once.fail(sink, UNREACHABLE)
+            detachedruns.fail(sink, UNREACHABLE)
         else:
             receiver.finish()
 
--- a/chervilrock/node/requests.py
+++ b/chervilrock/node/requests.py
@@ -115,9 +115,9 @@
         """See base class."""
         return self._view.list_endpoints(model, adapter, now)
 
-    def holds(self, endpoint: Endpoint, now: float) -> bool:
+    def keeps_attempts(self, endpoint: Endpoint, now: float) -> bool:
         """See base class."""
-        return self._view.holds(endpoint, now)
+        return self._view.keeps_attempts(endpoint, now)
 
     def service_spec(self, name: str) -> ServiceSpec | None:
         """See base class."""
--- a/chervilrock/node/view.py
+++ b/chervilrock/node/view.py
@@ -130,7 +130,7 @@
             and (not adapter or adapter in timed.endpoint.adapters)
         )
 
-    def holds(self, endpoint: Endpoint, now: float) -> bool:
+    def keeps_attempts(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether a group still processes requests sent to it."""
         for timed in self.serving.endpoints:
             if timed.endpoint.group == endpoint.group:
--- a/test/edges/sites.py
+++ b/test/edges/sites.py
@@ -145,7 +145,7 @@
     ) -> tuple[Endpoint, ...]:
         return tuple(self.serving) if model == MODEL else ()
 
-    def holds(self, endpoint: Endpoint, now: float) -> bool:
+    def keeps_attempts(self, endpoint: Endpoint, now: float) -> bool:
         return endpoint in self.serving or endpoint in self.finishing
 
     def service_spec(self, name: str) -> ServiceSpec | None:
--- a/test/history/mutations.py
+++ b/test/history/mutations.py
@@ -16,10 +16,10 @@
 
 
 class _Deaf(Receiver):
-    def take_head(self, head) -> None:
+    def handle_head(self, head) -> None:
         pass
 
-    def take_data(self, data) -> None:
+    def handle_data(self, data) -> None:
         pass
 
 
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -320,12 +320,12 @@
         if self._end.done():
             return
         self._receive_head(200, ("Content-Type", "text/event-stream"))
-        self._receiver.take_data(b"id: 1\ndata: x\n\n")
+        self._receiver.handle_data(b"id: 1\ndata: x\n\n")
 
     def end_answer(self) -> None:
         if self._end.done():
             return
-        self._receiver.take_data(b"id: 2\ndata: x\n\n")
+        self._receiver.handle_data(b"id: 2\ndata: x\n\n")
         self._complete("")
 
     def _receive_head(self, status: int, pair: tuple[str, str]) -> None:
@@ -337,7 +337,7 @@
                 ("X-Request-Id", self._headers["X-Request-Id"]),
             ),
         )
-        self._receiver.take_head(self.head)
+        self._receiver.handle_head(self.head)
 
     def _complete(self, error: str) -> None:
         if not self._end.done():
