--- a/chervilrock/decisions/outage.py
+++ b/chervilrock/decisions/outage.py
@@ -77,7 +77,7 @@
       lease: the lease of the region from the point of view of this process;
         it may have expired, but no claim of another process may have been
         read.
-      out_since: when the log was last read, None if it is available.
+      outage_since: when the log was last read, None if it is available.
       now: current time in seconds.
       timing: waiting times.
     """
--- a/chervilrock/decisions/planner/alternatives.py
+++ b/chervilrock/decisions/planner/alternatives.py
@@ -8,15 +8,15 @@
 import enum
 from typing import NamedTuple
 
-from chervilrock.decisions.planner.draft import Draft
-from chervilrock.decisions.planner.estimates import estimate_load
 from chervilrock.decisions.planner.context import (
     estimate_group_worth,
     PlanContext,
 )
+from chervilrock.decisions.planner.draft import Draft
+from chervilrock.decisions.planner.estimates import estimate_load
 from chervilrock.decisions.planner.packing import Option
-from chervilrock.decisions.planner.subproblem import PlacedGroup, Subproblem
 from chervilrock.decisions.planner.specs import may_use_domain
+from chervilrock.decisions.planner.subproblem import PlacedGroup, Subproblem
 from chervilrock.generated.configuration import ModelSpec
 
 _FORM_DISCOUNT = 0.99
--- a/chervilrock/decisions/planner/evaluation.py
+++ b/chervilrock/decisions/planner/evaluation.py
@@ -1,12 +1,12 @@
 """Evaluation of a combination of alternatives."""
 
-from chervilrock.decisions.planner.draft import Draft
-from chervilrock.decisions.planner.estimates import estimate_load
+from chervilrock.decisions.planner.alternatives import Alternative, Treatment
 from chervilrock.decisions.planner.context import (
     estimate_group_worth,
     PlanContext,
 )
-from chervilrock.decisions.planner.alternatives import Alternative, Treatment
+from chervilrock.decisions.planner.draft import Draft
+from chervilrock.decisions.planner.estimates import estimate_load
 from chervilrock.decisions.planner.subproblem import Subproblem
 
 _SWITCHING_COST_FRACTION = 0.1
--- a/chervilrock/decisions/planner/formation.py
+++ b/chervilrock/decisions/planner/formation.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.actions import HostView
-from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.context import estimate_group_worth
+from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.packing import Option, pack
 from chervilrock.decisions.planner.placement import caches_model, choose_hosts
 from chervilrock.decisions.planner.specs import (
--- a/chervilrock/decisions/planner/order.py
+++ b/chervilrock/decisions/planner/order.py
@@ -13,11 +13,11 @@
     FormGroup,
     RepairGroup,
 )
-from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.context import (
     estimate_group_worth,
     PlanContext,
 )
+from chervilrock.decisions.planner.draft import Draft
 
 
 def order_actions(draft: Draft, context: PlanContext) -> tuple[Action, ...]:
--- a/chervilrock/decisions/planner/planner.py
+++ b/chervilrock/decisions/planner/planner.py
@@ -9,10 +9,10 @@
 )
 from chervilrock.decisions.planner.absence import AbsenceHistory
 from chervilrock.decisions.planner.base import GroupPlanner
+from chervilrock.decisions.planner.context import PlanContext
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.estimates import LoadTimes
 from chervilrock.decisions.planner.inventory import domain_of, Inventory
-from chervilrock.decisions.planner.context import PlanContext
 from chervilrock.decisions.planner.loads import LoadHistory
 from chervilrock.decisions.planner.order import order_actions
 from chervilrock.decisions.planner.policy import (
@@ -114,7 +114,9 @@
         )
         return tuple(draft.actions)
 
-    def handle_returned_host(self, host: HostView, now: float) -> tuple[Action, ...]:
+    def handle_returned_host(
+        self, host: HostView, now: float
+    ) -> tuple[Action, ...]:
         """Records that a host is present, and plans for its fabric domain.
 
         Args:
--- a/chervilrock/decisions/planner/policy.py
+++ b/chervilrock/decisions/planner/policy.py
@@ -5,16 +5,16 @@
 
 from chervilrock.decisions.actions import GroupView
 from chervilrock.decisions.planner.arrangement import add_arrangement
+from chervilrock.decisions.planner.context import (
+    estimate_group_worth,
+    PlanContext,
+)
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.formation import (
     form_groups,
     form_in_domain,
     list_candidates,
 )
-from chervilrock.decisions.planner.context import (
-    estimate_group_worth,
-    PlanContext,
-)
 from chervilrock.decisions.planner.rearrangement import find_arrangement
 from chervilrock.decisions.planner.removal import (
     dissolve_surplus,
--- a/chervilrock/decisions/planner/rearrangement.py
+++ b/chervilrock/decisions/planner/rearrangement.py
@@ -8,32 +8,32 @@
 from collections.abc import Iterator
 import itertools
 
+from chervilrock.decisions.planner.alternatives import (
+    Alternative,
+    list_alternatives,
+    list_alternatives_in_place,
+    list_alternatives_to_form,
+    Treatment,
+)
 from chervilrock.decisions.planner.arrangement import (
     Arrangement,
     PlannedFormation,
     PlannedMove,
 )
+from chervilrock.decisions.planner.context import PlanContext
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.evaluation import (
     Choice,
     estimate_value,
     is_premature,
 )
-from chervilrock.decisions.planner.context import PlanContext
-from chervilrock.decisions.planner.alternatives import (
-    Alternative,
-    list_alternatives,
-    list_alternatives_in_place,
-    list_alternatives_to_form,
-    Treatment,
-)
 from chervilrock.decisions.planner.packing import pack
+from chervilrock.decisions.planner.specs import Domain
 from chervilrock.decisions.planner.subproblem import (
     list_last_serving,
     make_subproblem,
     Subproblem,
 )
-from chervilrock.decisions.planner.specs import Domain
 from chervilrock.generated.configuration import ModelSpec
 
 _MAX_KEPT_SETS = 8
--- a/chervilrock/decisions/planner/subproblem.py
+++ b/chervilrock/decisions/planner/subproblem.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from chervilrock.decisions.actions import GroupView
+from chervilrock.decisions.planner.context import PlanContext
 from chervilrock.decisions.planner.draft import Draft
 from chervilrock.decisions.planner.formation import list_candidates
-from chervilrock.decisions.planner.context import PlanContext
 from chervilrock.decisions.planner.specs import (
     Domain,
     is_current,
--- a/chervilrock/edges/callers.py
+++ b/chervilrock/edges/callers.py
@@ -6,7 +6,7 @@
 from tornado import routing, web
 
 from chervilrock.decisions.requests.tickets import parse_ticket
-from chervilrock.edges import dispatch, detachedruns
+from chervilrock.edges import detachedruns, dispatch
 from chervilrock.edges.context import RequestContext
 from chervilrock.edges.dispatch import CallerRequest, PreparedRequest
 from chervilrock.edges.errors import CallerError, ErrorCode
@@ -170,7 +170,10 @@
         return ()
 
     async def _answer_prepared(
-        self, request: CallerRequest, prepared: PreparedRequest, sink: CallerSink
+        self,
+        request: CallerRequest,
+        prepared: PreparedRequest,
+        sink: CallerSink,
     ) -> None:
         key = request.parsed.key
         ticket = parse_ticket(key)
--- a/chervilrock/edges/keys.py
+++ b/chervilrock/edges/keys.py
@@ -43,7 +43,9 @@
         self._registry: runregistry.RunRegistry[KeyName] = (
             runregistry.RunRegistry()
         )
-        self._runs: detachedruns.DetachedRuns[KeyName] = detachedruns.DetachedRuns(path=path)
+        self._runs: detachedruns.DetachedRuns[KeyName] = (
+            detachedruns.DetachedRuns(path=path)
+        )
 
     async def answer(
         self,
--- a/chervilrock/edges/progress.py
+++ b/chervilrock/edges/progress.py
@@ -23,14 +23,12 @@
         """Restarts the measurement when a request is sent."""
         self._last_progress_at = now
 
-    def measure_silence(
-        self, position: int, paused: bool, now: float
-    ) -> float:
+    def measure_silence(self, position: int, paused: bool, now: float) -> float:
         """Returns the time in seconds since the last progress.
 
         Args:
           position: number of events received so far.
-          held_back: whether the transfer is paused because the caller does not
+          paused: whether the transfer is paused because the caller does not
             read.
           now: present time.
         """
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -32,9 +32,9 @@
 from chervilrock.edges.serving import exchangelog
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.connection import CallerConnection
-from chervilrock.edges.serving.slots import Endpoint, SlotChoice, SlotSearch
 from chervilrock.edges.serving.receiver import AnswerReceiver
 from chervilrock.edges.serving.retryreservation import RetryReservation
+from chervilrock.edges.serving.slots import Endpoint, SlotChoice, SlotSearch
 from chervilrock.edges.serving.suspectcheck import SuspectCheck
 from chervilrock.platform import headers as names
 from chervilrock.serving_metrics import ServingMetrics
--- a/chervilrock/edges/tickets.py
+++ b/chervilrock/edges/tickets.py
@@ -43,7 +43,9 @@
         self._path = path
         self._context = path.context
         self._table = tickets.TicketTable()
-        self._runs: detachedruns.DetachedRuns[int] = detachedruns.DetachedRuns(path=path)
+        self._runs: detachedruns.DetachedRuns[int] = detachedruns.DetachedRuns(
+            path=path
+        )
 
     @property
     def table(self) -> tickets.TicketTable:
--- a/chervilrock/node/entry.py
+++ b/chervilrock/node/entry.py
@@ -12,9 +12,9 @@
 from chervilrock.generated.settings import NodeSettings
 from chervilrock.metrics import Metrics
 from chervilrock.node.core import NodeCore
+from chervilrock.node.coroutines import list_coroutines
 from chervilrock.node.parts import build_parts
 from chervilrock.node.server import bind, make_server
-from chervilrock.node.coroutines import list_coroutines
 from chervilrock.tasks.clock import Clock, read_clock
 from chervilrock.tasks.region import LeaseGivenUp
 
--- a/chervilrock/serving_metrics.py
+++ b/chervilrock/serving_metrics.py
@@ -67,8 +67,12 @@
             "Retries rejected by the retry budget",
             "service",
         )
-        self.running_requests = self._gauge("served_running", "Requests in progress")
-        self.waiting_requests = self._gauge("served_waiting", "Waiting requests")
+        self.running_requests = self._gauge(
+            "served_running", "Requests in progress"
+        )
+        self.waiting_requests = self._gauge(
+            "served_waiting", "Waiting requests"
+        )
         self.leads = self._gauge("leads", "1 while this node is the leader")
         self.revision = self._gauge("served_revision", "Revision in force")
         self.revision_age = self._gauge(
--- a/chervilrock/tasks/region_control.py
+++ b/chervilrock/tasks/region_control.py
@@ -17,11 +17,11 @@
 from chervilrock.decisions.snapshots import SnapshotSchedule, split_snapshot
 from chervilrock.generated.records import GroupPhase, RecordId
 from chervilrock.tasks.clock import Clock, read_day
+from chervilrock.tasks.decisionschedule import DecisionSchedule
 from chervilrock.tasks.idleness import IdleTable
 from chervilrock.tasks.loads import GroupLoad
 from chervilrock.tasks.messages import BatchAppended, OrderAnswered
 from chervilrock.tasks.orders import OrderRequest
-from chervilrock.tasks.decisionschedule import DecisionSchedule
 from chervilrock.tasks.region_messages import RegionFacts, RegionPorts
 
 REPLAN_S = 60.0
@@ -99,7 +99,7 @@
 
         Args:
           facts: state of the region as this node knows it.
-          out_since: when the log was last read, None when it can be read.
+          outage_since: when the log was last read, None when it can be read.
           now: current time in seconds.
         """
         if not self._decision_schedule.is_due(now):
--- a/test/node/test_serving.py
+++ b/test/node/test_serving.py
@@ -508,7 +508,9 @@
         other = next(node for node in world.nodes if not node.is_leader)
         leader.state.is_stopping = True
         await world.wait(lambda: other.is_leader, "the other node leads")
-        await world.wait(lambda: not leader.is_leader, "the leader stepped down")
+        await world.wait(
+            lambda: not leader.is_leader, "the leader stepped down"
+        )
 
     run_world(scenario, nodes=2)
 
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -37,7 +37,7 @@
 from chervilrock.edges.relay import BackendRequest, TransferEnd
 from chervilrock.edges.serving import exchange as exchange_module
 from chervilrock.edges.serving import exchangelog
-from chervilrock.edges.serving import places as places_module
+from chervilrock.edges.serving import slots as slots_module
 from chervilrock.edges.serving import receiver as receiver_module
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.exchange import Context, Exchange
@@ -611,7 +611,7 @@
 
     for module in (
         exchange_module,
-        places_module,
+        slots_module,
         receiver_module,
         waitqueue_module,
     ):
