--- a/chervilrock/clients/__init__.py
+++ b/chervilrock/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces of the platform and of the backend servers."""
+"""Clients of the platform services and of the backend servers."""
--- a/chervilrock/clients/base.py
+++ b/chervilrock/clients/base.py
@@ -1,8 +1,8 @@
-"""Abstract base classes of the platform and of model engines.
+"""Abstract base classes for clients of the platform and of model engines.
 
-Every method that talks to a remote process returns a `Result` and raises
-nothing for a remote failure; only a programming error or a cancellation of
-the calling task raises.
+Every method that calls a remote process returns a `Result` and does not raise
+for a remote failure. Only programming errors and cancellation of the calling
+task raise.
 """
 
 import abc
@@ -26,10 +26,10 @@
     """Answer of the log service to a read.
 
     Attributes:
-      records: records in order of their offsets; the first one lies after the
-        offset asked for when older records were trimmed.
-      first_offset: least offset still kept.
-      next_offset: offset that the next appended record will get.
+      records: records in order of their offsets. When older records were
+        trimmed, the first one lies after the requested offset.
+      first_offset: lowest offset that is still retained.
+      next_offset: offset of the next record to be appended.
     """
 
     records: tuple[StoredRecord, ...]
@@ -50,7 +50,7 @@
 
 
 class Catalogue(TypedDict):
-    """What the weight store holds, by the name of the model."""
+    """Contents of the weight store, by model name."""
 
     models: dict[str, ModelEntry]
 
@@ -59,8 +59,8 @@
     """Answer of an engine to an order.
 
     Attributes:
-      accepted: False when the engine refused the order because it had seen a
-        greater fencing number.
+      accepted: False when the engine rejected the order because it has
+        already received a higher fencing number.
       state: state of the engine after the order.
     """
 
@@ -69,7 +69,7 @@
 
 
 class AttemptPhase(enum.StrEnum):
-    """What an engine knows of an attempt."""
+    """Phase of an attempt as reported by an engine."""
 
     UNKNOWN = "unknown"
     WAITING = "waiting"
@@ -81,7 +81,7 @@
     """Cache events of an engine.
 
     Attributes:
-      next: sequence number to ask for the next time.
+      next: sequence number from which to read the next page.
     """
 
     events: tuple[CacheEvent, ...]
@@ -103,9 +103,8 @@
 
         Returns:
           The offset of each record. After an error whose `effect_possible`
-          holds, the batch may stand in the stream all the same, so that a
-          repeated append may store it twice: only a read tells the offset of
-          the first one.
+          is true, the batch may have been stored, so that a retried append
+          may store it twice. Only a read returns the offset of the first copy.
         """
 
     @abc.abstractmethod
@@ -116,18 +115,18 @@
 
         Args:
           stream: name of the stream.
-          start: least offset wanted, from 1.
-          limit: greatest number of records wanted.
-          wait_ms: time in milliseconds that the service may wait for a record
-            when there is none from `start` on.
+          start: lowest offset to return, from 1.
+          limit: maximum number of records to return.
+          wait_ms: long-poll timeout in milliseconds; applies when there is no
+            record at or after `start`.
 
         Returns:
-          The page, with no records when none came in time.
+          The page, without records if none was appended in time.
         """
 
 
 class HostListSource(abc.ABC):
-    """The lagging list of live and leaving hosts."""
+    """Source of the list of live and leaving hosts, which may lag behind."""
 
     @abc.abstractmethod
     async def fetch(self) -> Result[HostList, PlatformError]:
@@ -143,9 +142,9 @@
 
 
 class ModelEngine(abc.ABC):
-    """Control side of the model engines, one engine on each host.
+    """Control interface of the model engines, one engine on each host.
 
-    An address is `IP:port` of the engine.
+    An address is the `IP:port` of an engine.
     """
 
     @abc.abstractmethod
@@ -154,35 +153,36 @@
     ) -> Result[OrderAnswer, PlatformError]:
         """Orders an engine to load or to unload a shard.
 
-        An accepted order has only begun; `read_state` tells when it is done.
+        The engine carries out an accepted order asynchronously; `read_state`
+        shows when it is done.
         """
 
     @abc.abstractmethod
     async def read_state(
         self, address: str
     ) -> Result[EngineState, PlatformError]:
-        """Reads back what the engine holds."""
+        """Reads the state of the engine."""
 
     @abc.abstractmethod
     async def read_load(
         self, address: str
     ) -> Result[EngineLoad, PlatformError]:
-        """Reads the last load report of the engine."""
+        """Reads the latest load report of the engine."""
 
     @abc.abstractmethod
     async def read_events(
         self, address: str, start: int
     ) -> Result[CacheEventPage, PlatformError]:
-        """Reads cache events from the sequence number `start` on."""
+        """Reads cache events starting at the sequence number `start`."""
 
     @abc.abstractmethod
     async def cancel(
         self, address: str, attempt: str
     ) -> Result[bool, PlatformError]:
-        """Cancels an attempt; False when the engine does not know it."""
+        """Cancels an attempt; returns False if the engine has none such."""
 
     @abc.abstractmethod
     async def read_attempt(
         self, address: str, attempt: str
     ) -> Result[AttemptPhase, PlatformError]:
-        """Reads what the engine knows of an attempt."""
+        """Reads the phase of an attempt."""
--- a/chervilrock/clients/curlpool.py
+++ b/chervilrock/clients/curlpool.py
@@ -1,7 +1,7 @@
-"""Curl clients of tornado that are made when they are needed.
+"""Pool of tornado curl clients that are created on demand.
 
-A curl client makes all its handles when it is made, each some kilobytes. A
-node needs few of them most of the time, and many for a moment.
+A curl client allocates all its handles on creation, each a few kilobytes. A
+node needs few of them most of the time and many during short bursts.
 """
 
 import asyncio
@@ -11,15 +11,15 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPRequest, HTTPResponse
 
-HANDLES = 4
-"""Handles of one client."""
+HANDLES_PER_CLIENT = 4
+"""Default number of handles of one client."""
 
 
 class QuietCurlClient(CurlAsyncHTTPClient):
-    """A curl client that may be closed while requests are under way.
+    """A curl client that may be closed while requests are in progress.
 
-    Closing makes libcurl set a timer once more, which would later run into
-    the closed client.
+    On closing, libcurl sets its timer once more. The timer would later fire
+    on the closed client and fail.
     """
 
     def _handle_timeout(self) -> None:
@@ -28,25 +28,29 @@
 
 
 class CurlPool:
-    """Clients with a few handles each, for the running event loop.
+    """Pool of clients with a few handles each, for the running event loop.
 
-    The first client with a free handle is taken, so that a small load stays
-    on one client and finds its connections open.
+    A request uses the first client with a free handle, so that a small load
+    stays on one client and reuses its open connections.
 
     Attributes:
-      is_closed: whether no more requests may be sent.
+      is_closed: whether the pool is closed and accepts no more requests.
     """
 
     def __init__(
-        self, *, max_requests: int, max_body_size: int, handles: int = HANDLES
+        self,
+        *,
+        max_requests: int,
+        max_body_size: int,
+        handles: int = HANDLES_PER_CLIENT,
     ) -> None:
-        """Make an empty pool.
+        """Create an empty pool.
 
         Args:
-          max_requests: greatest number of requests at once; more of them wait
-            for a handle
-          max_body_size: greatest body of an answer in bytes
-          handles: handles of one client
+          max_requests: maximum number of concurrent requests; further
+            requests wait for a handle
+          max_body_size: maximum size of a response body in bytes
+          handles: number of handles of one client
         """
         self._handles = min(handles, max_requests)
         self._max_clients = -(-max_requests // self._handles)
@@ -57,60 +61,63 @@
 
     @property
     def running(self) -> int:
-        """Number of requests under way."""
+        """Number of requests in progress."""
         return sum(self._running)
 
     @contextlib.contextmanager
     def borrow(self) -> Iterator[CurlAsyncHTTPClient]:
-        """Lend a client for one request."""
-        index = self._take()
+        """Reserve a handle of a client for one request."""
+        index = self._acquire()
         try:
             yield self._clients[index]
         finally:
-            self._give_back(index)
+            self._release(index)
 
     def fetch(self, request: HTTPRequest) -> "asyncio.Future[HTTPResponse]":
-        """Send a request; its handle is taken until it has ended.
+        """Send a request; its handle stays reserved until the request ends.
 
-        A handle that counted as free as soon as nobody waited any more was
-        given to the next request, which then waited for the end of the first:
-        for up to 26 s behind a read that the store never answers.
+        This holds also when the caller is cancelled. If the handle were
+        released on cancellation, the next request would get it and wait for
+        the first one to end: up to 26 s for a read that the store never
+        answers.
         """
-        index = self._take()
-        ended = self._clients[index].fetch(request, raise_error=False)
-        ended.add_done_callback(lambda one: self._record_end(index, one))
-        return ended
+        index = self._acquire()
+        response = self._clients[index].fetch(request, raise_error=False)
+        response.add_done_callback(
+            lambda future: self._handle_completion(index, future)
+        )
+        return response
 
     def close(self) -> None:
-        """Close all connections, and make no more."""
+        """Close all connections and prevent new ones."""
         self.is_closed = True
         for client in self._clients:
             client.close()
         self._clients.clear()
         self._running.clear()
 
-    def _take(self) -> int:
-        """Count a request at a client and return its number."""
-        index = self._choose()
+    def _acquire(self) -> int:
+        """Reserve a handle and return the index of its client."""
+        index = self._select_client()
         self._running[index] += 1
         return index
 
-    def _record_end(
-        self, index: int, ended: "asyncio.Future[HTTPResponse]"
+    def _handle_completion(
+        self, index: int, response: "asyncio.Future[HTTPResponse]"
     ) -> None:
-        """Count a request as ended, whether or not somebody waits for it."""
-        self._give_back(index)
-        if not ended.cancelled():
-            # Else a failure that nobody waits for is logged as a fault.
-            ended.exception()
-
-    def _give_back(self, index: int) -> None:
-        """Count a request as ended, unless all clients are closed."""
+        """Release the handle of a completed request, also an abandoned one."""
+        self._release(index)
+        if not response.cancelled():
+            # asyncio logs exceptions that are never retrieved.
+            response.exception()
+
+    def _release(self, index: int) -> None:
+        """Release a handle, unless the pool is closed."""
         if self._running:
             self._running[index] -= 1
 
-    def _choose(self) -> int:
-        """Return the number of a client, making one when all are busy."""
+    def _select_client(self) -> int:
+        """Return the index of a client, creating one if all are busy."""
         for index, running in enumerate(self._running):
             if running < self._handles:
                 return index
--- a/chervilrock/clients/errors.py
+++ b/chervilrock/clients/errors.py
@@ -5,7 +5,7 @@
 
 
 class PlatformErrorKind(enum.StrEnum):
-    """What is known about a request that got no usable answer."""
+    """Why a request got no usable answer."""
 
     REFUSED = "refused"
     TIMEOUT = "timeout"
@@ -17,10 +17,10 @@
     """A remote request failed.
 
     Attributes:
-      kind: what is known about the request.
+      kind: category of the failure.
       message: cause for the log; not to be parsed.
-      retry_after_s: time in seconds that the remote side asks to wait before
-        the next try, 0 when it did not say.
+      retry_after_s: delay in seconds that the remote side requests before a
+        retry, 0 when it gave none.
     """
 
     kind: PlatformErrorKind
--- a/chervilrock/clients/http.py
+++ b/chervilrock/clients/http.py
@@ -39,7 +39,7 @@
     next_offset: int
 
 
-class _LooseLogReadBody(TypedDict):
+class _RawLogReadBody(TypedDict):
     records: tuple[Any, ...]
     first_offset: int
     next_offset: int
@@ -50,7 +50,7 @@
 
 
 _PAGE_DECODER = msgspec.json.Decoder(_LogReadBody)
-_LOOSE_PAGE_DECODER = msgspec.json.Decoder(_LooseLogReadBody)
+_RAW_PAGE_DECODER = msgspec.json.Decoder(_RawLogReadBody)
 _APPENDED_DECODER = msgspec.json.Decoder(LogAppended)
 _HOST_LIST_DECODER = msgspec.json.Decoder(HostList)
 _CATALOGUE_DECODER = msgspec.json.Decoder(base.Catalogue)
@@ -70,13 +70,13 @@
         address: str,
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> None:
-        """Makes a client.
+        """Create a client.
 
         Args:
-          http: client to send the requests with.
+          http: HTTP client that sends the requests.
           address: IP:port of the log service.
-          timeout_s: longest time for a request in seconds; a read that waits
-            gets its waiting time on top.
+          timeout_s: timeout of a request in seconds; the long-poll timeout
+            of a read is added to it.
         """
         self._http = http
         self._address = address
@@ -116,15 +116,15 @@
 
 
 def decode_page(answer: HttpAnswer) -> Result[_LogReadBody, PlatformError]:
-    """Decode a page, also one with records that this version cannot read."""
+    """Decode a page, also one with records unknown to this version."""
     strict = decode_success(_PAGE_DECODER, answer)
     if isinstance(strict, Success):
         return strict
-    return decode_success(_LOOSE_PAGE_DECODER, answer).bind(_read_loose_page)
+    return decode_success(_RAW_PAGE_DECODER, answer).bind(_decode_raw_page)
 
 
-def _read_loose_page(
-    body: _LooseLogReadBody,
+def _decode_raw_page(
+    body: _RawLogReadBody,
 ) -> Result[_LogReadBody, PlatformError]:
     records = []
     for raw in body["records"]:
@@ -174,12 +174,12 @@
         address: str,
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> None:
-        """Makes a client.
+        """Create a client.
 
         Args:
-          http: client to send the requests with.
+          http: HTTP client that sends the requests.
           address: IP:port of the host list.
-          timeout_s: longest time for a request in seconds.
+          timeout_s: timeout of a request in seconds.
         """
         self._http = http
         self._url = f"http://{address}/hosts"
@@ -205,12 +205,12 @@
         address: str,
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> None:
-        """Makes a client.
+        """Create a client.
 
         Args:
-          http: client to send the requests with.
+          http: HTTP client that sends the requests.
           address: IP:port of the weight store.
-          timeout_s: longest time for a request in seconds.
+          timeout_s: timeout of a request in seconds.
         """
         self._http = http
         self._url = f"http://{address}/weights"
@@ -229,7 +229,7 @@
 
 
 class HttpModelEngine(base.ModelEngine):
-    """Client of the control side of model engines."""
+    """Client of the control interface of model engines."""
 
     def __init__(
         self,
@@ -237,11 +237,11 @@
         http: HttpClient,
         timeout_s: float = DEFAULT_ENGINE_TIMEOUT_S,
     ) -> None:
-        """Makes a client.
+        """Create a client.
 
         Args:
-          http: client to send the requests with.
-          timeout_s: longest time for a request in seconds.
+          http: HTTP client that sends the requests.
+          timeout_s: timeout of a request in seconds.
         """
         self._http = http
         self._timeout_s = timeout_s
@@ -325,4 +325,4 @@
 ) -> Result[bool, PlatformError]:
     if answer.status == _STATUS_NOT_FOUND:
         return Success(False)
-    return check_status(answer).map(lambda _good: True)
+    return check_status(answer).map(lambda _answer: True)
--- a/chervilrock/clients/httpclient.py
+++ b/chervilrock/clients/httpclient.py
@@ -1,7 +1,8 @@
 """HTTP requests over the curl client of tornado, without exceptions.
 
-A request that failed tells whether a byte of it can have reached the remote
-side: libcurl calls back once a connection stands and right before it sends.
+The error of a failed request shows whether any byte of it can have reached the
+remote side: libcurl invokes a callback after it has connected and right before
+it sends.
 """
 
 import asyncio
@@ -26,24 +27,24 @@
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _STATUS_REQUEST_TIMEOUT = 408
 _STATUS_TOO_MANY_REQUESTS = 429
-_CLIENT_ERRORS = range(400, 500)
-_SERVER_ERRORS = range(500, 600)
-_SUCCESSES = range(200, 300)
+_CLIENT_ERROR_STATUSES = range(400, 500)
+_SERVER_ERROR_STATUSES = range(500, 600)
+_SUCCESS_STATUSES = range(200, 300)
 
 _T = TypeVar("_T")
 
 
 class HttpAnswer(NamedTuple):
-    """A whole HTTP answer, whatever its status.
+    """A complete HTTP response with any status.
 
     Attributes:
       status: status code.
-      body: body of the answer.
+      body: body of the response.
       retry_after_s: value of the header Retry-After in seconds, 0 when it is
         missing or a date.
-      not_run: whether the remote side proved that it did nothing.
-      header: value of the header that was asked for, empty when it is
-        missing.
+      not_run: whether the remote side confirms that it did not execute the
+        request.
+      header: value of the requested header, empty when it is missing.
     """
 
     status: int
@@ -53,24 +54,24 @@
     header: str = ""
 
 
-class _Headers:
-    """The headers of an answer that matter here.
+class _HeaderParser:
+    """Extracts the required headers of a response.
 
-    Reading these alone instead of all saves about a fifth of the time
+    Parsing only these instead of all headers saves about a fifth of the time
     of a request.
     """
 
-    __slots__ = ("retry_after_s", "not_run", "value", "_wanted")
+    __slots__ = ("retry_after_s", "not_run", "value", "_wanted_name")
 
     def __init__(self, wanted: str) -> None:
         self.retry_after_s = 0.0
         self.not_run = False
         self.value = ""
-        self._wanted = wanted.lower().encode()
+        self._wanted_name = wanted.lower().encode()
 
     def record_line(self, line: bytes) -> None:
-        """Callback of libcurl for each line of the header."""
-        wanted = self._wanted
+        """Parse a header line; libcurl calls this for each of them."""
+        wanted = self._wanted_name
         if wanted and line[: len(wanted) + 1].lower() == wanted + b":":
             self.value = line[len(wanted) + 1 :].strip().decode("latin-1")
         if line[:1] not in _HEADER_INITIALS:
@@ -87,10 +88,11 @@
     """Client for short requests, shared by all clients of a process.
 
     It keeps connections open and reuses them. When a reused connection turns
-    out to be closed, libcurl by itself sends the request again on another
-    one, unless `send_once` is set.
+    out to be closed, libcurl sends the request again on another one, unless
+    `send_once` is set.
 
-    A caller that is cancelled stops waiting; the request itself goes on.
+    Cancelling a caller does not cancel its request, which continues in the
+    background.
     """
 
     def __init__(
@@ -99,12 +101,12 @@
         connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S,
         max_clients: int = DEFAULT_MAX_CLIENTS,
     ) -> None:
-        """Makes a client for the running event loop.
+        """Create a client for the running event loop.
 
         Args:
-          connect_timeout_s: longest time to connect, in seconds.
-          max_clients: greatest number of requests at once; more of them wait
-            without a timeout, so it has to be ample.
+          connect_timeout_s: connect timeout in seconds.
+          max_clients: maximum number of concurrent requests. Further requests
+            wait without a timeout, so the limit has to be generous.
         """
         self._connect_timeout_s = connect_timeout_s
         self._pool = CurlPool(
@@ -127,26 +129,26 @@
         decompress: bool = False,
         wanted_header: str = "",
     ) -> Result[HttpAnswer, PlatformError]:
-        """Sends a request and waits for its whole answer.
+        """Sends a request and waits for its complete response.
 
         Args:
           method: HTTP method.
           url: URL with an IP address.
-          timeout_s: longest time for the request in seconds.
+          timeout_s: timeout of the request in seconds.
           body: body in JSON, or None.
-          headers: more headers.
-          send_once: whether to fail rather than to send a second time.
-          decompress: whether the remote side may compress its answer.
-          wanted_header: name of a header of the answer to return, or empty.
+          headers: additional headers.
+          send_once: whether to fail instead of sending a second time.
+          decompress: whether the remote side may compress its response.
+          wanted_header: name of a response header to return, or empty.
 
         Returns:
-          The answer, whatever its status, or why there was none.
+          The response, whatever its status, or the error if there was none.
         """
         if self._pool.is_closed:
-            # Calls that are under way while a process ends come here last.
+            # Tasks may still send requests while the process shuts down.
             return Failure(PlatformError(PlatformErrorKind.REFUSED, "closed"))
         guard = SendGuard(once=send_once)
-        answer_headers = _Headers(wanted_header)
+        answer_headers = _HeaderParser(wanted_header)
 
         def prepare(curl: pycurl.Curl) -> None:
             guard.prepare(curl)
@@ -164,7 +166,7 @@
             prepare_curl_callback=prepare,
         )
         try:
-            # It goes on, and keeps its handle, when the caller is cancelled.
+            # The request continues and keeps its handle on cancellation.
             response = await asyncio.shield(self._pool.fetch(request))
         except HTTPClientError as error:
             return Failure(_describe_error(error, guard.sent, url))
@@ -201,12 +203,12 @@
 
 
 def check_status(answer: HttpAnswer) -> Result[HttpAnswer, PlatformError]:
-    """Turns an answer without success into an error.
+    """Converts an unsuccessful response into an error.
 
     Returns:
-      The answer itself when its status is 2xx.
+      The response itself if its status is 2xx, else the error.
     """
-    if answer.status in _SUCCESSES:
+    if answer.status in _SUCCESS_STATUSES:
         return Success(answer)
     return Failure(
         PlatformError(
@@ -222,9 +224,9 @@
         return PlatformErrorKind.REFUSED
     if answer.status == _STATUS_REQUEST_TIMEOUT:
         return PlatformErrorKind.TIMEOUT
-    if answer.status in _CLIENT_ERRORS:
+    if answer.status in _CLIENT_ERROR_STATUSES:
         return PlatformErrorKind.REFUSED
-    if answer.status in _SERVER_ERRORS:
+    if answer.status in _SERVER_ERROR_STATUSES:
         return PlatformErrorKind.OUTAGE
     return PlatformErrorKind.BAD_ANSWER
 
@@ -232,7 +234,7 @@
 def decode(
     decoder: msgspec.json.Decoder[_T], answer: HttpAnswer
 ) -> Result[_T, PlatformError]:
-    """Decodes the body of an answer; a bad body is an error."""
+    """Decodes the body of a response; a malformed body is an error."""
     try:
         return Success(decoder.decode(answer.body))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -242,5 +244,5 @@
 def decode_success(
     decoder: msgspec.json.Decoder[_T], answer: HttpAnswer
 ) -> Result[_T, PlatformError]:
-    """Decodes the body of an answer with success."""
-    return check_status(answer).bind(lambda good: decode(decoder, good))
+    """Decodes the body of a response if its status is 2xx."""
+    return check_status(answer).bind(lambda success: decode(decoder, success))
--- a/chervilrock/clients/liveness.py
+++ b/chervilrock/clients/liveness.py
@@ -1,4 +1,4 @@
-"""Whether a backend server still takes connections."""
+"""Check whether a backend server accepts connections."""
 
 import asyncio
 import contextlib
@@ -6,15 +6,15 @@
 from chervilrock.clients.serving import ServerLiveness
 
 CONNECT_TIMEOUT_S = 0.3
-"""Longest time to connect, in which one lost packet is sent again."""
+"""Connect timeout, long enough to retransmit one lost packet."""
 
-STAY_S = 0.05
-"""Time for which a connection of a living server stays open. A proxy before a
-server that is gone takes a connection and closes it at once."""
+STABLE_CONNECTION_S = 0.05
+"""Time for which a connection must stay open to count the server as alive. A
+proxy in front of a dead server accepts a connection and closes it at once."""
 
 
 class ConnectionLiveness(ServerLiveness):
-    """Opens a connection, sends nothing, and closes it."""
+    """Opens a connection, sends nothing, and closes it again."""
 
     async def is_alive(self, address: str) -> bool:
         """See base class."""
@@ -25,8 +25,8 @@
         except OSError:
             return False
         try:
-            async with asyncio.timeout(STAY_S):
-                # Whatever comes, a server that is gone does not send it.
+            async with asyncio.timeout(STABLE_CONNECTION_S):
+                # Any received byte proves that the server is alive.
                 return bool(await reader.read(1))
         except TimeoutError:
             return True
--- a/chervilrock/clients/polled.py
+++ b/chervilrock/clients/polled.py
@@ -1,4 +1,4 @@
-"""Clients of model engines and of the host list that poll."""
+"""Polling clients of model engines and of the host list."""
 
 import sys
 from typing import TypedDict
@@ -28,28 +28,28 @@
 _HOST_DECODER = msgspec.json.Decoder(HostEntry)
 
 
-class _Region(TypedDict):
-    """What tells whether a host is of a region."""
+class _HostRegion(TypedDict):
+    """The field of a host entry that holds its region."""
 
     region: str
 
 
 class _RawHostList(TypedDict):
-    """A host list whose hosts are not decoded yet."""
+    """A host list with undecoded host entries."""
 
     hosts: tuple[msgspec.Raw, ...]
     services: tuple[ServiceEntry, ...]
     age_ms: int
 
 
-_REGION_DECODER = msgspec.json.Decoder(_Region)
+_REGION_DECODER = msgspec.json.Decoder(_HostRegion)
 _RAW_HOST_LIST_DECODER = msgspec.json.Decoder(_RawHostList)
 
 
 class PolledModelEngine(HttpModelEngine):
-    """Client of model engines whose states and loads are read all the time.
+    """Client of model engines that polls their states and loads.
 
-    A state that has not changed is the very same value as before.
+    An unchanged state is returned as the same object as before.
     """
 
     def __init__(
@@ -59,12 +59,12 @@
         poller: Poller,
         timeout_s: float = DEFAULT_ENGINE_TIMEOUT_S,
     ) -> None:
-        """Make a client.
+        """Create a client.
 
         Args:
-          http: client for all but the state and the load
-          poller: client for these
-          timeout_s: longest time for a request in seconds
+          http: client for all requests except the state and the load
+          poller: client for the state and the load
+          timeout_s: timeout of a request in seconds
         """
         super().__init__(http=http, timeout_s=timeout_s)
         self._poller = poller
@@ -85,35 +85,35 @@
 
 
 class RegionHostDecoder:
-    """Decodes the hosts of one region out of a host list.
+    """Decodes a host list and keeps only the hosts of one region.
 
-    The list holds the hosts of all regions, which a node need not keep.
+    The list holds the hosts of all regions, and a node needs only its own.
     """
 
     def __init__(self, *, region: str) -> None:
-        """Make a decoder for the hosts of a region."""
+        """Create a decoder for the hosts of a region."""
         self._region = region
 
     def decode(self, body: bytes, /) -> HostList:
-        """Return the list with the hosts of the region alone.
+        """Return the list with only the hosts of the region.
 
         Raises:
-          msgspec.DecodeError: the body is no host list.
+          msgspec.DecodeError: the body is not a valid host list.
         """
-        listed = _RAW_HOST_LIST_DECODER.decode(body)
+        raw_list = _RAW_HOST_LIST_DECODER.decode(body)
         return HostList(
             hosts=tuple(
                 _share_strings(_HOST_DECODER.decode(raw))
-                for raw in listed["hosts"]
+                for raw in raw_list["hosts"]
                 if _REGION_DECODER.decode(raw)["region"] == self._region
             ),
-            services=listed["services"],
-            age_ms=listed["age_ms"],
+            services=raw_list["services"],
+            age_ms=raw_list["age_ms"],
         )
 
 
 def _share_strings(entry: HostEntry) -> HostEntry:
-    """Return a host whose strings are the same objects as those of others."""
+    """Intern the strings of a host, which are common to many hosts."""
     entry["host"] = sys.intern(entry["host"])
     entry["data_centre"] = sys.intern(entry["data_centre"])
     entry["domain"] = sys.intern(entry["domain"])
@@ -124,7 +124,7 @@
 class PolledHostListSource(HostListSource):
     """Client of the host list, for the hosts of one region.
 
-    A list that has not changed is the very same value as before.
+    An unchanged list is returned as the same object as before.
     """
 
     def __init__(
@@ -135,13 +135,13 @@
         region: str,
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> None:
-        """Make a client.
+        """Create a client.
 
         Args:
-          poller: client to send the requests with
+          poller: client that sends the requests
           address: IP:port of the host list
-          region: region whose hosts are wanted
-          timeout_s: longest time for a request in seconds
+          region: region whose hosts are returned
+          timeout_s: timeout of a request in seconds
         """
         self._poller = poller
         self._url = f"http://{address}/hosts"
--- a/chervilrock/clients/polling.py
+++ b/chervilrock/clients/polling.py
@@ -1,10 +1,9 @@
-"""The same GET requests again and again, at little cost.
+"""Efficient polling of URLs with repeated GET requests.
 
-The curl client of tornado sets a handle up anew for each request, which costs
-more than the request itself. Here a handle of libcurl is set up once and lent
-to one request after the other, and the connections stay open. When the remote
-side gives its answers an entity tag, an answer that has not changed comes
-without its body.
+The curl client of tornado configures a handle for each request, which costs
+more than the request itself. Here each libcurl handle is configured once and
+reused by successive requests, and the connections stay open. When the remote
+side sends entity tags, an unchanged response comes without its body.
 """
 
 import asyncio
@@ -20,10 +19,10 @@
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 MAX_COMPARED_BYTES = 4096
-"""Greatest body that is kept to compare the next one with."""
+"""Maximum size of a body that is kept to compare it with the next one."""
 
-KEPT_S = 60.0
-"""Time in seconds for which the last answer of a URL is kept without use."""
+RESOURCE_RETENTION_S = 60.0
+"""Time after the last poll of a URL for which its response is kept."""
 
 _MS_PER_S = 1000
 _STATUS_OK = 200
@@ -36,10 +35,10 @@
 
 
 class Decoder(Protocol[_Decoded]):
-    """Decodes a body, as the decoders of msgspec do."""
+    """Decoder of a body, with the interface of the msgspec decoders."""
 
     def decode(self, body: bytes, /) -> _Decoded:
-        """Return the value.
+        """Return the decoded value.
 
         Raises:
           msgspec.DecodeError: the body is malformed.
@@ -47,50 +46,58 @@
 
 
 class _Resource:
-    """What is polled at one URL, and its last answer.
+    """A polled URL and its last response.
 
     Attributes:
-      url: its URL
-      busy: whether a request for it is under way
-      used_at: when it was asked for last, in seconds of the event loop
-      tag: entity tag of the last answer, empty without one
+      url: URL of the resource
+      busy: whether a request for it is in progress
+      used_at: time of the last poll, in seconds of the event loop clock
+      tag: entity tag of the last response, empty without one
     """
 
-    __slots__ = ("url", "busy", "used_at", "tag", "_known", "_body", "_value")
+    __slots__ = (
+        "url",
+        "busy",
+        "used_at",
+        "tag",
+        "_has_value",
+        "_body",
+        "_value",
+    )
 
     def __init__(self, url: str) -> None:
         self.url = url
         self.busy = False
         self.used_at = 0.0
         self.tag = b""
-        self._known = False
+        self._has_value = False
         self._body = b""
         self._value: Any = None
 
-    def take(
+    def apply(
         self, answer: HttpAnswer, tag: bytes, decoder: Decoder[_T]
     ) -> Result[_T, PlatformError]:
-        """Return the decoded answer, the same value if it has not changed."""
-        if self._known and self._is_same(answer):
+        """Decode a response; return the previous object if it is unchanged."""
+        if self._has_value and self._is_same(answer):
             value: _T = self._value
             return Success(value)
         result = check_status(answer).bind(
-            lambda good: _decode(decoder, good.body)
+            lambda success: _decode(decoder, success.body)
         )
         if isinstance(result, Success) and answer.status == _STATUS_OK:
-            self._known = True
+            self._has_value = True
             self._value = result.unwrap()
             self._body = answer.body
             if len(answer.body) > MAX_COMPARED_BYTES:
                 self._body = b""
             self.tag = tag
         else:
-            self.forget()
+            self.reset()
         return result
 
-    def forget(self) -> None:
-        """Forget the last answer, so that the next one comes whole."""
-        self._known = False
+    def reset(self) -> None:
+        """Drop the last response, so that the next one comes with its body."""
+        self._has_value = False
         self._body = b""
         self._value = None
         self.tag = b""
@@ -104,28 +111,29 @@
 
 
 class _Handle:
-    """A handle of libcurl, lent to one request after the other.
+    """A libcurl handle that is reused by successive requests.
 
     Attributes:
-      waiting: settled when the request under way ends, None without one
-      tag: entity tag of the answer
+      completion: future that is done when the current request ends, None
+        without a request
+      tag: entity tag of the response
     """
 
     def __init__(self) -> None:
-        self.waiting: asyncio.Future[None] | None = None
+        self.completion: asyncio.Future[None] | None = None
         self.tag = b""
         self.curl = pycurl.Curl()
         self._body = bytearray()
         for option, value in (
             (pycurl.NOSIGNAL, 1),
             (pycurl.NOPROXY, "*"),
-            (pycurl.WRITEFUNCTION, self._take_chunk),
-            (pycurl.HEADERFUNCTION, self._take_header),
+            (pycurl.WRITEFUNCTION, self._append_chunk),
+            (pycurl.HEADERFUNCTION, self._read_header_line),
         ):
             self.curl.setopt(option, value)
 
     def begin(self, resource: _Resource, timeout_s: float) -> None:
-        """Prepare for a request."""
+        """Configure the handle for a request."""
         self.tag = b""
         self._body = bytearray()
         timeout_ms = round(timeout_s * _MS_PER_S)
@@ -139,138 +147,144 @@
             self.curl.unsetopt(pycurl.HTTPHEADER)
 
     def finish(self) -> HttpAnswer:
-        """Return the answer."""
+        """Return the response of the completed request."""
         status = self.curl.getinfo(pycurl.RESPONSE_CODE)
         body = bytes(self._body)
         self._body = bytearray()
         return HttpAnswer(status, body, 0.0, False)
 
-    def _take_chunk(self, chunk: bytes) -> int:
+    def _append_chunk(self, chunk: bytes) -> int:
         if len(self._body) + len(chunk) > MAX_ANSWER_BYTES:
             return 0
         self._body += chunk
         return len(chunk)
 
-    def _take_header(self, line: bytes) -> None:
+    def _read_header_line(self, line: bytes) -> None:
         if line[: len(_TAG_HEADER)].lower() == _TAG_HEADER:
             self.tag = line[len(_TAG_HEADER) :].strip()
 
 
 class Poller:
-    """Client for requests that are repeated, in the running event loop."""
+    """Client that polls URLs, for the running event loop."""
 
     def __init__(self) -> None:
-        """Make a client without connections."""
+        """Create a client without connections."""
         self._loop = asyncio.get_running_loop()
         self._resources: dict[str, _Resource] = {}
         self._handles: dict[pycurl.Curl, _Handle] = {}
-        self._free: list[_Handle] = []
-        self._swept_at = self._loop.time()
+        self._free_handles: list[_Handle] = []
+        self._evicted_at = self._loop.time()
         self._closed = False
-        self._transfers = CurlLoop(on_end=self._end)
+        self._transfers = CurlLoop(on_end=self._finish_transfer)
 
     async def poll(
         self, url: str, decoder: Decoder[_T], timeout_s: float
     ) -> Result[_T, PlatformError]:
-        """Send a request and wait for its answer.
+        """Send a request and wait for its response.
 
         Args:
           url: URL with an IP address.
           decoder: decodes the body; always the same one for a URL.
-          timeout_s: longest time for the request in seconds.
+          timeout_s: timeout of the request in seconds.
 
         Returns:
-          The decoded body: the very same value as before if it has not
-          changed. An error while a request for this URL is under way: who
-          joined it would take its answer for younger than it is.
+          The decoded body: the same object as before if it is unchanged. An
+          error while another request for this URL is in progress: a second
+          caller that shared its response would consider it more recent than
+          it is.
         """
         resource = self._find_resource(url)
         if resource.busy:
             message = f"{url} is being polled"
             return Failure(PlatformError(PlatformErrorKind.REFUSED, message))
-        handle = self._borrow()
-        handle.waiting = self._loop.create_future()
+        handle = self._acquire_handle()
+        handle.completion = self._loop.create_future()
         handle.begin(resource, timeout_s)
         resource.busy = True
         self._transfers.add(handle.curl)
         try:
-            await handle.waiting
+            await handle.completion
         except pycurl.error as error:
-            resource.forget()
-            return Failure(_describe(error, url))
+            resource.reset()
+            return Failure(_convert_error(error, url))
         finally:
             resource.busy = False
-            self._give_back(handle)
-        return resource.take(handle.finish(), handle.tag, decoder)
+            self._release_handle(handle)
+        return resource.apply(handle.finish(), handle.tag, decoder)
 
     def close(self) -> None:
-        """Close all connections; requests under way fail."""
+        """Close all connections; requests in progress fail."""
         self._closed = True
         for handle in self._handles.values():
-            if handle.waiting is not None:
+            if handle.completion is not None:
                 self._transfers.remove(handle.curl)
                 error = pycurl.error(pycurl.E_ABORTED_BY_CALLBACK, "closed")
-                _settle(handle, error)
+                _complete(handle, error)
             handle.curl.close()
         self._handles.clear()
-        self._free.clear()
+        self._free_handles.clear()
         self._transfers.close()
 
     def _find_resource(self, url: str) -> _Resource:
         now = self._loop.time()
-        self._sweep(now)
+        self._evict_unused(now)
         resource = self._resources.get(url)
         if resource is None:
             resource = self._resources[url] = _Resource(url)
         resource.used_at = now
         return resource
 
-    def _sweep(self, now: float) -> None:
-        """Forget what nobody asks for any more."""
-        if now < self._swept_at + KEPT_S:
+    def _evict_unused(self, now: float) -> None:
+        """Drop the resources that are no longer polled."""
+        if now < self._evicted_at + RESOURCE_RETENTION_S:
             return
-        self._swept_at = now
+        self._evicted_at = now
         for url, resource in list(self._resources.items()):
-            if not resource.busy and now >= resource.used_at + KEPT_S:
+            if (
+                not resource.busy
+                and now >= resource.used_at + RESOURCE_RETENTION_S
+            ):
                 del self._resources[url]
 
-    def _borrow(self) -> _Handle:
-        if self._free:
-            return self._free.pop()
+    def _acquire_handle(self) -> _Handle:
+        if self._free_handles:
+            return self._free_handles.pop()
         handle = _Handle()
         self._handles[handle.curl] = handle
         return handle
 
-    def _give_back(self, handle: _Handle) -> None:
-        """Take a handle back, unless its request still goes on.
+    def _release_handle(self, handle: _Handle) -> None:
+        """Release a handle, unless its request is still in progress.
 
-        A caller that is cancelled leaves its request to itself.
+        A request continues when its caller is cancelled.
         """
-        if handle.waiting is None and not self._closed:
-            self._free.append(handle)
+        if handle.completion is None and not self._closed:
+            self._free_handles.append(handle)
 
-    def _end(self, curl: pycurl.Curl, error: pycurl.error | None) -> None:
-        """Settle a request that libcurl has ended."""
+    def _finish_transfer(
+        self, curl: pycurl.Curl, error: pycurl.error | None
+    ) -> None:
+        """Complete a request whose transfer libcurl has finished."""
         handle = self._handles[curl]
-        abandoned = handle.waiting is not None and handle.waiting.done()
-        _settle(handle, error)
+        abandoned = handle.completion is not None and handle.completion.done()
+        _complete(handle, error)
         if abandoned:
-            self._give_back(handle)
+            self._release_handle(handle)
 
 
-def _settle(handle: _Handle, error: pycurl.error | None) -> None:
-    """Wake the caller, which may have been cancelled meanwhile."""
-    waiting = handle.waiting
-    handle.waiting = None
-    if waiting is None or waiting.done():
+def _complete(handle: _Handle, error: pycurl.error | None) -> None:
+    """Wake the caller, unless it has been cancelled."""
+    completion = handle.completion
+    handle.completion = None
+    if completion is None or completion.done():
         return
     if error is None:
-        waiting.set_result(None)
+        completion.set_result(None)
     else:
-        waiting.set_exception(error)
+        completion.set_exception(error)
 
 
-def _describe(error: pycurl.error, url: str) -> PlatformError:
+def _convert_error(error: pycurl.error, url: str) -> PlatformError:
     code = error.args[0]
     kind = PlatformErrorKind.OUTAGE
     if code == pycurl.E_OPERATION_TIMEDOUT:
--- a/chervilrock/clients/sendguard.py
+++ b/chervilrock/clients/sendguard.py
@@ -1,9 +1,9 @@
-"""Control over how often libcurl sends a request.
+"""Control of the automatic retries of libcurl.
 
-libcurl sends a request again by itself when a reused connection turns out to
-be closed, also after the remote side has run it. It calls back right before
-each send, on a new connection as on a reused one, which tells whether a byte
-can have left and allows to stop the second send.
+libcurl sends a request again when a reused connection turns out to be closed,
+even if the remote side has already executed it. It invokes a callback right
+before each send, on new and reused connections alike. The callback records
+whether any byte can have been sent, and can abort the second send.
 """
 
 import pycurl
@@ -13,30 +13,30 @@
 
 
 class SendGuard:
-    """Watches the sends of one request.
+    """Records and limits the sends of one request.
 
     Attributes:
       sent: whether libcurl has begun to send; while it is False, no byte of
-        the request has left this process.
+        the request has been sent.
     """
 
     __slots__ = ("sent", "_fresh", "_once")
 
     def __init__(self, *, once: bool, fresh: bool = False) -> None:
-        """Makes a guard for one request.
+        """Create a guard for one request.
 
         Args:
-          once: whether to fail rather than to send a second time.
-          fresh: whether to use a connection of its own, which no request used
-            before or will use later. With a reused connection `once` alone
-            also fails when the remote side had closed it before the send.
+          once: whether to fail instead of sending a second time.
+          fresh: whether to use a dedicated connection that is not shared with
+            earlier or later requests. On a reused connection, `once` alone
+            also fails when the remote side closed it before the send.
         """
         self.sent = False
         self._once = once
         self._fresh = fresh
 
     def prepare(self, curl: pycurl.Curl) -> None:
-        """Sets up a handle; the `prepare_curl_callback` of a request."""
+        """Configure a handle; used as `prepare_curl_callback` of a request."""
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.PREREQFUNCTION, self._record_send)
         if self._fresh:
--- a/chervilrock/clients/serving.py
+++ b/chervilrock/clients/serving.py
@@ -1,6 +1,7 @@
-"""Abstract base classes of the platform that a serving node talks to.
+"""Abstract base classes for the platform clients of a serving node.
 
-Every method returns a `Result` and raises nothing for a remote failure.
+Methods whose request can fail return a `Result` and do not raise for a remote
+failure.
 """
 
 import abc
@@ -19,7 +20,7 @@
 
 
 class Topic(enum.Enum):
-    """Keyed records that a node reads or writes.
+    """Topics of keyed records that a node reads or writes.
 
     Attributes:
       CONFIGURATION: written by the operator, a single key.
@@ -33,7 +34,7 @@
 
 
 class KeyedRecord(NamedTuple):
-    """The value of a key; an empty value means that the key was dropped."""
+    """The value of a key; an empty value means that the key was deleted."""
 
     key: str
     value: bytes
@@ -45,11 +46,11 @@
 
     Attributes:
       records: the records.
-      next_offset: where to read on.
-      unreadable: offsets of records that could not be read; any writer may
-        put such a one between the others.
-      era: how often the store has come back from a copy. Offsets of one era
-        tell nothing of those of another one.
+      next_offset: offset at which the next read starts.
+      unreadable: offsets of records that could not be decoded; any writer may
+        append such a record between the others.
+      era: number of times that the store was restored from a backup. Offsets
+        of different eras are not comparable.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -59,7 +60,7 @@
 
 
 class KeyedStore(abc.ABC):
-    """Keeps the newest record of each key and a history of recent ones."""
+    """Store of the newest record of each key and a history of recent ones."""
 
     @abc.abstractmethod
     async def fetch_newest(
@@ -71,16 +72,16 @@
     async def read(
         self, topic: Topic, start: int, wait_s: float
     ) -> Result[KeyedPage | None, PlatformError]:
-        """Return the records from an offset on.
+        """Return the records starting at an offset.
 
         Args:
-          topic: what to read.
+          topic: topic to read.
           start: first offset.
-          wait_s: time to wait for a record in seconds.
+          wait_s: long-poll timeout in seconds.
 
         Returns:
-          The records, none when none came in time; None when some of them
-          are no longer kept.
+          A page, without records if none was appended in time; None if some
+          of the requested records are no longer retained.
         """
 
     @abc.abstractmethod
@@ -90,22 +91,23 @@
         """Write a record.
 
         Args:
-          topic: where to write.
+          topic: topic to write to.
           key: key of the record.
-          value: its value; empty to drop the key.
+          value: its value; empty to delete the key.
           expected_end: offset that the record must get, None for any.
 
         Returns:
-          The offset of the record, or None when another one took it.
+          The offset of the record, or None if another record has already got
+          the expected offset.
         """
 
 
 class ServerLiveness(abc.ABC):
-    """Finds out whether backend servers live."""
+    """Checks whether backend servers are alive."""
 
     @abc.abstractmethod
     async def is_alive(self, address: str) -> bool:
-        """Tell whether a server takes connections.
+        """Return whether a server accepts connections.
 
         Args:
           address: IP:port.
@@ -113,13 +115,13 @@
 
 
 class EngineControl(abc.ABC):
-    """Gives orders to backend servers and asks for their state."""
+    """Sends orders to backend servers and queries their state."""
 
     @abc.abstractmethod
     async def send_order(
         self, server: BackendServer, order: Order, timeout_s: float
     ) -> Result[OrderReply, PlatformError]:
-        """Give an order; only this very start of the server obeys."""
+        """Send an order, which only this incarnation of the server accepts."""
 
     @abc.abstractmethod
     async def fetch_report(
