--- a/test/clients/conftest.py
+++ b/test/clients/conftest.py
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """A clock that stands still until it is set."""
+    """A clock that advances only when it is set."""
 
     def __init__(self) -> None:
         self.now = 0.0
--- a/test/clients/test_log_client.py
+++ b/test/clients/test_log_client.py
@@ -32,13 +32,13 @@
     assert_that(page, Equals(Success(LogPage(records, 1, 3))))
 
 
-def test_read_keeps_its_limit_and_start(runner, log):
+def test_read_respects_its_limit_and_start(runner, log):
     runner.run(log.append(STREAM, (FIRST, SECOND, FIRST)))
     page = runner.run(log.read(STREAM, 2, 1, 0)).unwrap()
     assert_that(page, Equals(LogPage((StoredRecord(2, SECOND),), 1, 4)))
 
 
-def test_streams_are_apart_and_empty_at_first(runner, log):
+def test_streams_are_separate_and_empty_at_first(runner, log):
     runner.run(log.append(STREAM, (FIRST,)))
     page = runner.run(log.read("keys.a/b c", 1, 10, 0)).unwrap()
     assert_that(page, Equals(LogPage((), 1, 1)))
@@ -54,7 +54,7 @@
     assert_that(page.records, Equals((StoredRecord(1, FIRST),)))
 
 
-def test_read_from_trimmed_offsets_shows_the_first_one(
+def test_read_from_trimmed_offsets_returns_the_first_offset(
     runner, log, platform, clock
 ):
     runner.run(log.append(STREAM, (FIRST,)))
@@ -101,13 +101,13 @@
     assert_that(result.failure().effect_possible, Equals(True))
 
 
-def test_dead_service_has_taken_nothing(runner, log, platform):
+def test_append_to_a_killed_service_is_refused(runner, log, platform):
     platform.kill()
     result = runner.run(log.append(STREAM, (FIRST,)))
     assert_that(result.failure().kind, Equals(PlatformErrorKind.REFUSED))
 
 
-def test_streams_outlive_a_restart(runner, log, platform):
+def test_streams_survive_a_restart(runner, log, platform):
     runner.run(log.append(STREAM, (FIRST,)))
     platform.kill()
     port = int(platform.address.rpartition(":")[2])
@@ -120,7 +120,7 @@
     "record",
     [b"{}", b'["no-kind",["n1",1],[]]', b'["key-claimed",["n1","1"],[]]'],
 )
-def test_unreadable_record_keeps_its_place(runner, log, platform, record):
+def test_unreadable_record_keeps_its_offset(runner, log, platform, record):
     platform.append(STREAM, (msgspec.Raw(record),))
     page = runner.run(log.read(STREAM, 1, 10, 0)).unwrap()
     unknown = Record(RecordKind.UNKNOWN, RecordId("", 0), None)
--- a/test/clients/test_polling.py
+++ b/test/clients/test_polling.py
@@ -1,4 +1,4 @@
-"""The client that polls."""
+"""Tests of the polling client."""
 
 import asyncio
 
@@ -16,41 +16,41 @@
 from chervilrock.standin.faults import FaultKind, FaultRule
 
 DECODER = msgspec.json.Decoder(EngineState)
-LONG_S = 10.0
-SHORT_S = 0.02
+LONG_TIMEOUT_S = 10.0
+SHORT_TIMEOUT_S = 0.02
 
 
-class Polled:
+class PolledEngine:
     """An engine stand-in and a client that polls it."""
 
     def __init__(self, poller):
         self.engine = EngineStandIn()
         self.poller = poller
 
-    async def poll(self, timeout_s=LONG_S):
+    async def poll(self, timeout_s=LONG_TIMEOUT_S):
         url = f"http://{self.engine.address}/control/state"
         return await self.poller.poll(url, DECODER, timeout_s)
 
 
-async def start():
-    polled = Polled(Poller())
+async def start_engine():
+    polled = PolledEngine(Poller())
     await polled.engine.start()
     return polled
 
 
 @pytest.fixture
 def polled(runner):
-    one = runner.run(start())
-    yield one
-    one.poller.close()
-    runner.run(one.engine.stop())
+    polled = runner.run(start_engine())
+    yield polled
+    polled.poller.close()
+    runner.run(polled.engine.stop())
 
 
-def find_kind(result):
+def get_error_kind(result):
     return result.failure().kind
 
 
-def test_answer_that_has_not_changed_is_the_same_value(runner, polled):
+def test_unchanged_answer_is_the_same_object(runner, polled):
     first = runner.run(polled.poll()).unwrap()
     second = runner.run(polled.poll()).unwrap()
     assert_that(second, Is(first))
@@ -60,7 +60,7 @@
     assert_that(first["fence"], Equals(0))
 
 
-def test_connection_stays_open_and_a_new_one_follows_a_death(runner, polled):
+def test_poller_reconnects_after_an_engine_restart(runner, polled):
     first = runner.run(polled.poll()).unwrap()
     port = int(polled.engine.address.rpartition(":")[2])
     runner.run(polled.engine.stop())
@@ -75,33 +75,35 @@
         first = asyncio.create_task(polled.poll())
         await asyncio.sleep(0)
         result = await polled.poll()
-        assert_that(find_kind(result), Is(PlatformErrorKind.REFUSED))
+        assert_that(get_error_kind(result), Is(PlatformErrorKind.REFUSED))
         assert_that(is_successful(await first), Is(True))
 
     runner.run(poll_twice())
 
 
-def test_engine_that_stands_still_ends_in_a_timeout(runner, polled):
+def test_poll_of_a_paused_engine_times_out(runner, polled):
     polled.engine.faults.set_paused(True)
-    result = runner.run(polled.poll(SHORT_S))
-    assert_that(find_kind(result), Is(PlatformErrorKind.TIMEOUT))
+    result = runner.run(polled.poll(SHORT_TIMEOUT_S))
+    assert_that(get_error_kind(result), Is(PlatformErrorKind.TIMEOUT))
     polled.engine.faults.set_paused(False)
-    assert_that(is_successful(runner.run(polled.poll(SHORT_S))), Is(True))
+    assert_that(
+        is_successful(runner.run(polled.poll(SHORT_TIMEOUT_S))), Is(True)
+    )
 
 
-def test_bad_answers_are_failures_and_leave_nothing_behind(runner, polled):
+def test_bad_answers_are_failures_and_later_polls_succeed(runner, polled):
     first = runner.run(polled.poll()).unwrap()
     fault = FaultRule(kind=FaultKind.OUTAGE, count=1)
     polled.engine.faults.add(fault)
     result = runner.run(polled.poll())
-    assert_that(find_kind(result), Is(PlatformErrorKind.OUTAGE))
+    assert_that(get_error_kind(result), Is(PlatformErrorKind.OUTAGE))
     assert_that(runner.run(polled.poll()).unwrap(), Equals(first))
     polled.engine.faults.add(FaultRule(kind=FaultKind.LOSE_ANSWER))
     result = runner.run(polled.poll())
-    assert_that(find_kind(result), Is(PlatformErrorKind.OUTAGE))
+    assert_that(get_error_kind(result), Is(PlatformErrorKind.OUTAGE))
 
 
-def test_close_ends_what_is_under_way(runner, polled):
+def test_close_fails_requests_in_progress(runner, polled):
     async def close_early():
         polled.engine.faults.set_paused(True)
         running = asyncio.create_task(polled.poll())
@@ -114,7 +116,7 @@
 
 
 def test_host_list_holds_the_hosts_of_one_region():
-    def make(host, region):
+    def make_host(host, region):
         return {
             "host": host,
             "address": "10.0.0.1:80",
@@ -127,11 +129,17 @@
         }
 
     decoder = RegionHostDecoder(region="north")
-    hosts = [make("a", "north"), make("b", "south"), make("c", "north")]
-    listed = {"hosts": hosts, "services": [], "age_ms": 5}
-    decoded = decoder.decode(msgspec.json.encode(listed))
-    assert_that([one["host"] for one in decoded["hosts"]], Equals(["a", "c"]))
+    hosts = [
+        make_host("a", "north"),
+        make_host("b", "south"),
+        make_host("c", "north"),
+    ]
+    host_list = {"hosts": hosts, "services": [], "age_ms": 5}
+    decoded = decoder.decode(msgspec.json.encode(host_list))
+    assert_that(
+        [entry["host"] for entry in decoded["hosts"]], Equals(["a", "c"])
+    )
     assert_that(decoded["age_ms"], Equals(5))
     del hosts[0]["leaving"]
     with pytest.raises(msgspec.DecodeError):
-        decoder.decode(msgspec.json.encode(listed))
+        decoder.decode(msgspec.json.encode(host_list))
--- a/test/clients/test_store_clients.py
+++ b/test/clients/test_store_clients.py
@@ -36,14 +36,14 @@
 def test_host_list_lags(runner, hosts, platform, clock):
     platform.set_hosts((make_host("host-1"),), (SERVICE,))
     clock.now = 4.9
-    early = runner.run(hosts.fetch()).unwrap()
+    before_lag = runner.run(hosts.fetch()).unwrap()
     clock.now = 5.0
-    late = runner.run(hosts.fetch()).unwrap()
-    assert_that(early["hosts"], Equals(()))
-    wanted = HostList(
+    after_lag = runner.run(hosts.fetch()).unwrap()
+    assert_that(before_lag["hosts"], Equals(()))
+    expected = HostList(
         hosts=(make_host("host-1"),), services=(SERVICE,), age_ms=5000
     )
-    assert_that(late, Equals(wanted))
+    assert_that(after_lag, Equals(expected))
 
 
 def test_posted_hosts_replace_those_of_the_same_name(
@@ -57,16 +57,16 @@
     encoded = msgspec.json.encode(body)
     runner.run(http.request("POST", url, timeout_s=5.0, body=encoded))
     clock.now = 5.0
-    seen = runner.run(hosts.fetch()).unwrap()
-    assert_that(seen["hosts"], Equals((make_host("host-1"), leaving)))
-    assert_that(seen["services"], Equals((SERVICE,)))
+    fetched = runner.run(hosts.fetch()).unwrap()
+    assert_that(fetched["hosts"], Equals((make_host("host-1"), leaving)))
+    assert_that(fetched["services"], Equals((SERVICE,)))
 
 
 def test_catalogue_lists_versions_and_adapters(runner, http, platform):
     store = HttpWeightStore(http=http, address=platform.address)
     catalogue = runner.run(store.fetch_catalogue()).unwrap()
-    wanted = {"versions": ("1",), "adapters": ("a",), "bytes": 20}
-    assert_that(catalogue, Equals({"models": {"m": wanted}}))
+    expected = {"versions": ("1",), "adapters": ("a",), "bytes": 20}
+    assert_that(catalogue, Equals({"models": {"m": expected}}))
 
 
 def test_shards_are_rate_limited(runner, http, platform, clock):
@@ -93,12 +93,12 @@
 
 
 def test_faults_are_set_over_http(runner, http, hosts, platform):
-    order = {
+    fault_order = {
         "clear": True,
         "rules": [{"kind": "outage", "path": "/hosts", "count": 1}],
     }
     url = f"http://{platform.address}/faults"
-    body = msgspec.json.encode(order)
+    body = msgspec.json.encode(fault_order)
     answer = runner.run(http.request("POST", url, timeout_s=5.0, body=body))
     kinds = [rule["kind"] for rule in platform.faults.list_rules()]
     first = runner.run(hosts.fetch())
@@ -122,7 +122,7 @@
         (504, False, PlatformErrorKind.OUTAGE),
     ],
 )
-def test_status_tells_whether_an_effect_is_possible(status, not_run, kind):
+def test_status_determines_the_kind_of_error(status, not_run, kind):
     answer = HttpAnswer(
         status=status, body=b"", retry_after_s=2.0, not_run=not_run
     )
