--- a/chervilrock/configuration/__init__.py
+++ b/chervilrock/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration files and settings, checked with places."""
+"""Reads and checks configuration files and settings, with locations."""
--- a/chervilrock/configuration/address.py
+++ b/chervilrock/configuration/address.py
@@ -1,4 +1,4 @@
-"""Addresses of the form IP:port, with IP numbers only."""
+"""Addresses of the form IP:port; host names are not accepted."""
 
 import ipaddress
 from typing import NamedTuple
@@ -8,28 +8,28 @@
 
 
 class Address(NamedTuple):
-    """An address of a process.
+    """The network address of a process.
 
     Attributes:
-      ip: IP number, version 6 without brackets
-      port: TCP port, 0 for any
+      ip: IP address; IPv6 without brackets
+      port: TCP port; 0 lets the system choose one
     """
 
     ip: str
     port: int
 
     def render(self) -> str:
-        """Return the address as IP:port, version 6 in brackets."""
+        """Return the address as IP:port, with IPv6 in brackets."""
         if ":" in self.ip:
             return f"[{self.ip}]:{self.port}"
         return f"{self.ip}:{self.port}"
 
 
 def parse_address(text: str) -> Address | None:
-    """Return the address in a text, None when it is no IP:port.
+    """Parse an IP:port address, or return None when it is malformed.
 
     Args:
-      text: such as 127.0.0.1:8080 or [::1]:8080
+      text: an address such as 127.0.0.1:8080 or [::1]:8080
     """
     host, separator, port = text.rpartition(":")
     if not separator or not is_port(port):
@@ -40,14 +40,14 @@
 
 
 def is_port(text: str) -> bool:
-    """Tell whether a text is the number of a port."""
+    """Return whether a string is a valid TCP port number."""
     if not text.isascii() or not text.isdigit():
         return False
     return len(text) <= MAX_PORT_DIGITS and int(text) <= MAX_PORT
 
 
 def parse_ip(text: str, version: int, port: int) -> Address | None:
-    """Return an address when the text is an IP number of that version."""
+    """Return the address if the text is an IP address of that version."""
     try:
         ip = ipaddress.ip_address(text)
     except ValueError:
@@ -58,5 +58,5 @@
 
 
 def is_unspecified(address: Address) -> bool:
-    """Tell whether an address stands for all addresses of a host."""
+    """Return whether an address is a wildcard such as 0.0.0.0 or ::."""
     return ipaddress.ip_address(address.ip).is_unspecified
--- a/chervilrock/configuration/bounds.py
+++ b/chervilrock/configuration/bounds.py
@@ -1,7 +1,7 @@
-"""Bounds of the settings of a node.
+"""Permitted values of the node settings.
 
-The same bounds stand in `chervilrock/schema/settings.yaml`; a test holds the
-two together. They are repeated here since a serving process loads no YAML.
+The settings schema has the same bounds; a test checks that the two agree.
+They are repeated here because a serving process loads no YAML.
 """
 
 import re
@@ -16,7 +16,7 @@
 
 
 class Range(NamedTuple):
-    """Least and greatest value of a number."""
+    """Inclusive minimum and maximum of a number."""
 
     minimum: float
     maximum: float
--- a/chervilrock/configuration/capacity.py
+++ b/chervilrock/configuration/capacity.py
@@ -1,8 +1,8 @@
-"""Checks whether the wanted groups can exist on the hosts of the platform.
+"""Checks whether the hosts of the platform can fit the configured groups.
 
-Each check is a necessary condition that holds for any placement: what it
-refuses no controller could form. Hosts that are leaving count, since they
-will be replaced.
+Each check is a necessary condition for any placement: no controller could
+form the groups that it rejects. Hosts that are leaving count, since they will
+be replaced.
 """
 
 import collections
@@ -19,7 +19,7 @@
 from chervilrock.generated.configuration import Configuration, ModelSpec
 from chervilrock.generated.interfaces import HostList
 
-MAX_SETS = 1024
+MAX_UNIONS = 1024
 FORBID = "forbid"
 
 
@@ -32,12 +32,12 @@
 
 
 class Demand(NamedTuple):
-    """What one model wants.
+    """The hosts that one model needs.
 
     Attributes:
       model: index of the model in the configuration
-      data_centres: where its groups may stand
-      hosts: number of hosts that all its groups need
+      data_centres: data centres where its groups may be placed
+      hosts: number of hosts for all its groups
     """
 
     model: int
@@ -48,18 +48,18 @@
 def check_capacity(
     configuration: Configuration, hosts: HostList, report: Report
 ) -> None:
-    """Add a finding for each want that the hosts cannot fulfil."""
+    """Add a finding for each demand that the hosts cannot meet."""
     check_known(configuration, hosts, report)
     sizes = count_hosts(hosts)
     demands = []
     for index, model in enumerate(configuration["models"]):
         names = frozenset(model["data_centres"])
-        places = names or frozenset(configuration["data_centres"])
+        data_centres = names or frozenset(configuration["data_centres"])
         if model["groups"] == 0:
             continue
-        if check_model(model, places, sizes, report, index):
+        if check_model(model, data_centres, sizes, report, index):
             wanted = model["groups"] * model["hosts_per_group"]
-            demands.append(Demand(index, places, wanted))
+            demands.append(Demand(index, data_centres, wanted))
     check_sets(demands, sizes, report)
 
 
@@ -74,7 +74,7 @@
 def check_known(
     configuration: Configuration, hosts: HostList, report: Report
 ) -> None:
-    """Refuse data centres without any host or backend server."""
+    """Report data centres without any host or backend server."""
     known = {host["data_centre"] for host in hosts["hosts"]}
     known |= {service["data_centre"] for service in hosts["services"]}
     for index, name in enumerate(configuration["data_centres"]):
@@ -91,22 +91,22 @@
 
 def check_model(
     model: ModelSpec,
-    places: frozenset[str],
+    data_centres: frozenset[str],
     sizes: dict[Domain, int],
     report: Report,
     index: int,
 ) -> bool:
-    """Tell whether the groups of one model alone can exist."""
+    """Return whether the hosts can fit the groups of one model alone."""
     path: Path = ("models", index)
     size = model["hosts_per_group"]
-    largest = max(pool_hosts(model, places, sizes, spares=0), default=0)
+    largest = max(pool_hosts(model, data_centres, sizes, spares=0), default=0)
     if size > largest:
         fault = describe_size(model, largest)
         report.add_value((*path, "hosts_per_group"), fault)
         return False
-    pools = pool_hosts(model, places, sizes, spares=model["spares"])
+    pools = pool_hosts(model, data_centres, sizes, spares=model["spares"])
     if size > max(pools):
-        fault = describe_spares(model, places, sizes)
+        fault = describe_spares(model, data_centres, sizes)
         report.add_value((*path, "spares"), fault)
         return False
     fitting = sum(pool // size for pool in pools)
@@ -117,7 +117,7 @@
 
 
 def describe_size(model: ModelSpec, largest: int) -> Fault:
-    """Return the fault for a group that fits nowhere."""
+    """Return the fault for a group larger than any eligible set of hosts."""
     forbid = model["cross_domain"] == FORBID
     kind = "fabric domain" if forbid else "region"
     other = "set cross_domain to allow" if forbid else "add data centres"
@@ -130,10 +130,10 @@
 
 
 def describe_spares(
-    model: ModelSpec, places: frozenset[str], sizes: dict[Domain, int]
+    model: ModelSpec, data_centres: frozenset[str], sizes: dict[Domain, int]
 ) -> Fault:
-    """Return the fault for spares that leave no room for a group."""
-    largest = max(list_domains(places, sizes))
+    """Return the fault for spares that leave too few hosts for a group."""
+    largest = max(list_domains(data_centres, sizes))
     return Fault(
         FindingCode.TOO_MANY_SPARES,
         f"{model['spares']} spares in a fabric domain leave no room for a "
@@ -143,7 +143,7 @@
 
 
 def describe_groups(model: ModelSpec, fitting: int) -> Fault:
-    """Return the fault for more groups than fit."""
+    """Return the fault for more groups than the hosts can fit."""
     return Fault(
         FindingCode.TOO_FEW_HOSTS,
         f"{model['groups']} groups of {model['hosts_per_group']} hosts are "
@@ -155,7 +155,7 @@
 
 def pool_hosts(
     model: ModelSpec,
-    places: frozenset[str],
+    data_centres: frozenset[str],
     sizes: dict[Domain, int],
     spares: int,
 ) -> list[int]:
@@ -163,47 +163,53 @@
 
     Args:
       model: the model
-      places: data centres where its groups may stand
+      data_centres: data centres where its groups may be placed
       sizes: number of hosts in each fabric domain
-      spares: hosts to leave out of each fabric domain
+      spares: number of hosts to leave out of each fabric domain
     """
     pools: collections.Counter[str | Domain] = collections.Counter()
     forbid = model["cross_domain"] == FORBID
     for domain, size in sizes.items():
-        if domain.data_centre in places:
+        if domain.data_centre in data_centres:
             key = domain if forbid else domain.region
             pools[key] += max(0, size - spares)
     return list(pools.values())
 
 
-def list_domains(places: frozenset[str], sizes: dict[Domain, int]) -> list[int]:
-    """Return the sizes of the fabric domains of some data centres."""
+def list_domains(
+    data_centres: frozenset[str], sizes: dict[Domain, int]
+) -> list[int]:
+    """Return the sizes of the fabric domains in the data centres."""
     return [
-        size for domain, size in sizes.items() if domain.data_centre in places
+        size
+        for domain, size in sizes.items()
+        if domain.data_centre in data_centres
     ]
 
 
 def check_sets(
     demands: list[Demand], sizes: dict[Domain, int], report: Report
 ) -> None:
-    """Refuse models that together want more hosts than there are."""
+    """Report models that together need more hosts than there are."""
     reported: list[frozenset[str]] = []
-    for places in list_sets(demands):
-        if any(places >= other for other in reported):
+    for data_centres in list_sets(demands):
+        if any(data_centres >= other for other in reported):
             continue
-        members = [item for item in demands if item.data_centres <= places]
+        members = [
+            item for item in demands if item.data_centres <= data_centres
+        ]
         wanted = sum(item.hosts for item in members)
-        there = sum(list_domains(places, sizes))
-        if wanted <= there:
+        available = sum(list_domains(data_centres, sizes))
+        if wanted <= available:
             continue
-        reported.append(places)
+        reported.append(data_centres)
         report.add_value(
             ("models", members[-1].model, "groups"),
             Fault(
                 FindingCode.TOO_FEW_HOSTS,
                 f"{len(members)} models that may stand only in "
-                f"{', '.join(sorted(places))} want {wanted} hosts together, "
-                f"but there are {there}",
+                f"{', '.join(sorted(data_centres))} want {wanted} "
+                f"hosts together, but there are {available}",
                 "lower groups, or add hosts or data centres",
             ),
         )
@@ -212,12 +218,12 @@
 def list_sets(demands: list[Demand]) -> list[frozenset[str]]:
     """Return the unions of the sets of data centres, smallest first.
 
-    At most about `MAX_SETS` unions are formed; further ones go unchecked.
+    At most about `MAX_UNIONS` unions are formed; further ones go unchecked.
     """
     sets: set[frozenset[str]] = set()
     for single in {demand.data_centres for demand in demands}:
         sets |= {single | other for other in sets} | {single}
-        if len(sets) > MAX_SETS:
+        if len(sets) > MAX_UNIONS:
             break
     sets |= {demand.data_centres for demand in demands}
     return sorted(sets, key=lambda item: (len(item), sorted(item)))
--- a/chervilrock/configuration/check.py
+++ b/chervilrock/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checks a configuration file: text, schema, cross-checks and defaults."""
+"""Checks a configuration file: text, schema, consistency and defaults."""
 
 from chervilrock.configuration.cross_check import check_values, Surroundings
 from chervilrock.configuration.defaults import fill_partial
@@ -18,17 +18,18 @@
     hosts: HostList | None,
     weights: WeightCatalogue | None,
 ) -> tuple[Configuration | None, tuple[Finding, ...]]:
-    """Check a configuration file as a whole; never raises for its content.
+    """Check a whole configuration file; invalid content never raises.
 
     Args:
       text: content of the file
-      file_name: name for the findings
-      hosts: host list, None to skip the checks against it
-      weights: catalogue of the weight store, None to skip
+      file_name: file name to show in the findings
+      hosts: host list, or None to skip the checks against it
+      weights: catalogue of the weight store, or None to skip the checks
+        against it
 
     Returns:
-      The configuration with every key and no findings, or None and all
-      findings in the order of their places.
+      The configuration with all defaults filled in and no findings, or None
+      and all findings in order of location.
     """
     document, findings = load_document(text, file_name)
     if document is None:
@@ -43,14 +44,15 @@
 def check_decoded(
     value: object, name: str
 ) -> tuple[Configuration | None, tuple[Finding, ...]]:
-    """Check a configuration that was decoded from JSON already.
+    """Check a configuration that is already decoded from JSON.
 
     Args:
       value: dicts, lists and scalars
-      name: takes the place of the file name in the findings
+      name: shown instead of a file name in the findings
 
     Returns:
-      As `check`; every finding is in line 1 and begins with the path.
+      As for `check`; each finding is on line 1 and begins with the path of
+      the value.
     """
     document = Document(value, {}, {}, frozenset())
     return check_document(document, name, Surroundings(None, None))
@@ -59,7 +61,7 @@
 def check_document(
     document: Document, file_name: str, surroundings: Surroundings
 ) -> tuple[Configuration | None, tuple[Finding, ...]]:
-    """Check a loaded document against the schema and across its values."""
+    """Check a document against the schema and for consistency."""
     schema = check_schema(document, file_name)
     if not schema.complete:
         return None, sort_findings(schema.findings)
@@ -78,7 +80,7 @@
 
 
 def knows_data_centres(document: Document, schema: SchemaReport) -> bool:
-    """Tell whether the list of data centres is there without faults."""
+    """Return whether the list of data centres is present and valid."""
     if not isinstance(document.value, dict):
         return False
     if "data_centres" not in document.value:
--- a/chervilrock/configuration/cross_check.py
+++ b/chervilrock/configuration/cross_check.py
@@ -1,4 +1,4 @@
-"""Checks between the values of a configuration, and against the platform."""
+"""Checks that values agree with each other and with the platform."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -25,7 +25,7 @@
 
 
 class Surroundings(NamedTuple):
-    """What is known of the platform, None for what is not.
+    """What is known about the platform; None for unknown parts.
 
     Attributes:
       hosts: host list
@@ -40,29 +40,30 @@
     configuration: Configuration,
     surroundings: Surroundings,
     report: Report,
-    places_known: bool,
+    data_centres_known: bool,
 ) -> None:
-    """Add a finding for each contradiction.
+    """Add a finding for each inconsistency.
 
     Args:
-      configuration: with all defaults, perhaps without faulty parts
-      surroundings: what is known of the platform
-      report: takes the findings
-      places_known: whether the list of data centres is free of faults
+      configuration: configuration with all defaults; faulty parts may be
+        left out
+      surroundings: what is known about the platform
+      report: report to add the findings to
+      data_centres_known: whether the list of data centres is valid
     """
     check_names(configuration, report)
     check_shares(configuration, report)
     check_calendar(configuration, report)
-    if places_known:
+    if data_centres_known:
         check_data_centres(configuration, report)
     if surroundings.weights is not None:
         check_weights(configuration, surroundings.weights, report)
-    if surroundings.hosts is not None and places_known:
+    if surroundings.hosts is not None and data_centres_known:
         check_capacity(configuration, surroundings.hosts, report)
 
 
 def check_names(configuration: Configuration, report: Report) -> None:
-    """Refuse names that stand twice in a list."""
+    """Report names that occur twice in a list."""
     data_centres = configuration["data_centres"]
     check_unique(name_paths(data_centres, ("data_centres",)), report)
     for index, model in enumerate(configuration["models"]):
@@ -91,7 +92,7 @@
 
 
 def check_unique(names: list[tuple[Path, str]], report: Report) -> None:
-    """Add a finding for each name that stands there a second time."""
+    """Add a finding for each repeated name."""
     first: dict[str, Path] = {}
     for path, name in names:
         if name not in first:
@@ -109,7 +110,7 @@
 
 
 def check_shares(configuration: Configuration, report: Report) -> None:
-    """Refuse workspaces that would never get capacity."""
+    """Report workspaces whose share is too small to get any capacity."""
     for index, workspace in enumerate(configuration["workspaces"]):
         if workspace["share"] >= LEAST_SHARE:
             continue
@@ -124,7 +125,7 @@
 
 
 def check_calendar(configuration: Configuration, report: Report) -> None:
-    """Refuse days that do not exist and days that two periods claim."""
+    """Report nonexistent days and periods that overlap."""
     owners: dict[int, int] = {}
     for index, period in enumerate(configuration["objective"]["calendar"]):
         path: Path = ("objective", "calendar", index)
@@ -148,7 +149,7 @@
 
 
 def check_day(text: str, path: Path, report: Report) -> int | None:
-    """Return the day of the year, or None with a finding."""
+    """Return the day of the year; if invalid, add a finding and return None."""
     day = count_day(text)
     if day is None:
         report.add_value(
@@ -163,7 +164,7 @@
 
 
 def check_data_centres(configuration: Configuration, report: Report) -> None:
-    """Refuse models in data centres that the configuration lacks."""
+    """Report data centres of models that the configuration does not list."""
     known = configuration["data_centres"]
     for index, model in enumerate(configuration["models"]):
         path: Path = ("models", index, "data_centres")
@@ -183,7 +184,7 @@
 def check_weights(
     configuration: Configuration, weights: WeightCatalogue, report: Report
 ) -> None:
-    """Refuse models, versions and adapters that the weight store lacks."""
+    """Report models, versions and adapters missing from the weight store."""
     for index, model in enumerate(configuration["models"]):
         path: Path = ("models", index)
         entry = weights["models"].get(model["name"])
@@ -199,7 +200,7 @@
 def check_entry(
     model: ModelSpec, entry: WeightEntry, path: Path, report: Report
 ) -> None:
-    """Refuse a version or adapters that the weight store lacks."""
+    """Report a version or adapters missing from the weight store."""
     if model["version"] not in entry["versions"]:
         fault = describe_absent(
             FindingCode.UNKNOWN_VERSION, model["version"], entry["versions"]
@@ -216,7 +217,7 @@
 def describe_absent(
     code: FindingCode, name: str, known: Iterable[str] | Mapping[str, object]
 ) -> Fault:
-    """Return the fault for a name that the weight store lacks."""
+    """Return the fault for a name that is missing from the weight store."""
     return Fault(
         code,
         f"{quote_value(name)} is not in the weight store",
--- a/chervilrock/configuration/defaults.py
+++ b/chervilrock/configuration/defaults.py
@@ -1,4 +1,4 @@
-"""Fills in the defaults of the schema, so that readers find every key."""
+"""Fills in schema defaults, so that every key is present."""
 
 from collections.abc import Mapping
 import enum
@@ -10,7 +10,7 @@
 
 
 class Absent(enum.Enum):
-    """Stands for a value that cannot be used."""
+    """Sentinel type for a value that is missing or unusable."""
 
     ABSENT = enum.auto()
 
@@ -22,8 +22,9 @@
     """A configuration without its faulty parts.
 
     Attributes:
-      configuration: what can be used; lists lack their faulty items
-      origins: path in the document of each list item that is left
+      configuration: the usable values; faulty list items are left out
+      origins: path in the document of each remaining list item, by its path
+        in the configuration
     """
 
     configuration: Configuration
@@ -31,21 +32,21 @@
 
 
 def fill_defaults(value: Mapping[str, Any]) -> Configuration:
-    """Return a checked configuration with every key.
+    """Return a valid configuration with all defaults filled in.
 
-    Lists become tuples and all values of type number become floats.
+    Converts lists to tuples and all values of type number to floats.
 
     Args:
-      value: a document that the schema accepts
+      value: a document that conforms to the schema
     """
     return fill_partial(value, frozenset()).configuration
 
 
 def fill_partial(value: object, bad: frozenset[Path]) -> Partial:
-    """Return what can be used of a document.
+    """Return the usable parts of a document, with defaults filled in.
 
     Args:
-      value: the document, in any form
+      value: the document, which may have any type
       bad: paths of its faulty values
     """
     filler = Filler(bad=bad)
@@ -60,13 +61,13 @@
 
 
 class Filler:
-    """Walks a document along the schema."""
+    """Fills in defaults by walking a document and the schema together."""
 
     def __init__(self, *, bad: frozenset[Path]) -> None:
-        """Begin without origins.
+        """Create a filler without any origins.
 
         Args:
-          bad: paths to leave out
+          bad: paths of the values to leave out
         """
         self.bad = bad
         self.origins: dict[Path, Path] = {}
@@ -84,7 +85,7 @@
         return Filler(bad=frozenset()).fill_value(node, node["default"], ())
 
     def fill_value(self, node: dict[str, Any], value: Any, path: Path) -> Any:
-        """Return a value with the defaults of all below it, or `ABSENT`."""
+        """Return a value with nested defaults filled in, or `ABSENT`."""
         if path in self.bad:
             return ABSENT
         node = resolve_schema(node)
@@ -99,7 +100,7 @@
     def fill_object(
         self, node: dict[str, Any], value: dict[str, Any], path: Path
     ) -> Any:
-        """Return a mapping with every key, or `ABSENT` when it lacks one."""
+        """Return a mapping with every key, or `ABSENT` if one is missing."""
         filled = {}
         for key, child in node["properties"].items():
             filled[key] = self.fill_key(child, value, key, path)
--- a/chervilrock/configuration/digest.py
+++ b/chervilrock/configuration/digest.py
@@ -1,4 +1,4 @@
-"""Digest of a configuration, equal for equal configurations."""
+"""Digest that is equal for equal configurations."""
 
 import hashlib
 import json
@@ -7,7 +7,7 @@
 
 
 def digest(configuration: Configuration) -> str:
-    """Return the SHA-256 of the canonical JSON, in hexadecimal.
+    """Return the hexadecimal SHA-256 digest of the canonical JSON.
 
     Canonical JSON has sorted keys, no spaces and only ASCII characters.
     """
--- a/chervilrock/configuration/document.py
+++ b/chervilrock/configuration/document.py
@@ -1,4 +1,4 @@
-"""Loads a YAML document and keeps the line and column of every value."""
+"""Loads a YAML document with the line and column of every value."""
 
 from typing import NamedTuple
 
@@ -30,11 +30,11 @@
 
 
 class Loaded(NamedTuple):
-    """A loaded document with what is wrong in it.
+    """A loaded document with its faults.
 
     Attributes:
-      document: None when the text cannot be parsed
-      findings: faults of the text and of its keys and tags
+      document: the document, or None if the text cannot be parsed
+      findings: faults in the text, its keys and its tags
     """
 
     document: Document | None
@@ -42,7 +42,7 @@
 
 
 def load_document(data: bytes | str, file_name: str) -> Loaded:
-    """Load a document; refuse quickly what is too large to be meant."""
+    """Load a document, rejecting oversized input before composing it."""
     source = decode_source(data, file_name)
     if source.finding is not None:
         return Loaded(None, (source.finding,))
@@ -64,16 +64,16 @@
 
 
 class DocumentBuilder:
-    """Turns composed nodes into plain data with places.
+    """Converts composed YAML nodes to plain data with locations.
 
-    The depth of the nodes is bounded by the scan of the events.
+    The recursion is bounded, since the event scan limits the nesting depth.
     """
 
     def __init__(self, *, file_name: str) -> None:
-        """Begin with nothing built.
+        """Create an empty builder.
 
         Args:
-          file_name: name for the findings
+          file_name: file name to show in the findings
         """
         self.file_name = file_name
         self.places: dict[Path, Place] = {}
@@ -82,7 +82,7 @@
         self.findings: list[Finding] = []
 
     def build_value(self, node: yaml.Node, path: Path) -> object:
-        """Return the value of a node and note its place."""
+        """Return the value of a node and record its location."""
         self.places[path] = find_node_place(node)
         if isinstance(node, yaml.MappingNode) and node.tag == MAPPING_TAG:
             return self.build_mapping(node, path)
@@ -107,7 +107,7 @@
     def build_mapping(
         self, node: yaml.MappingNode, path: Path
     ) -> dict[str, object]:
-        """Return a mapping; of a key that stands twice the first counts."""
+        """Return a mapping; the first of several equal keys wins."""
         value: dict[str, object] = {}
         for key_node, value_node in node.value:
             key = self.read_key(key_node)
@@ -121,7 +121,7 @@
         return value
 
     def read_key(self, node: yaml.Node) -> str | None:
-        """Return a key, or None with a finding when it is not a text."""
+        """Return a key; if it is no string, add a finding and return None."""
         if isinstance(node, yaml.ScalarNode) and node.tag in STRING_TAGS:
             return str(node.value)
         message = "a list or mapping as a key"
@@ -136,7 +136,7 @@
         return None
 
     def add_duplicate(self, node: yaml.Node, key: str, path: Path) -> None:
-        """Add the finding for a key that stands twice."""
+        """Add the finding for a duplicate key."""
         first = self.keys[path]
         self.add_finding(
             node,
@@ -158,12 +158,12 @@
 
 
 def is_invalid(value: object) -> bool:
-    """Tell whether a scalar could not be read."""
+    """Return whether a scalar could not be parsed."""
     return isinstance(value, OddScalar) and value.kind is OddKind.INVALID
 
 
 def find_node_place(node: yaml.Node) -> Place:
-    """Return the place where a node starts."""
+    """Return the location where a node starts."""
     mark = node.start_mark
     text = node.value if isinstance(node, yaml.ScalarNode) else ""
     return Place(mark.line + 1, mark.column + 1, text)
--- a/chervilrock/configuration/events.py
+++ b/chervilrock/configuration/events.py
@@ -1,7 +1,7 @@
-"""Bounds of a YAML text, checked on its events before it is composed.
+"""Limits on a YAML text, checked on parser events before composition.
 
-The scan needs no recursion and stops at the first excess, so a text that
-would take too long or too much memory is refused after little work.
+The scan is not recursive and stops at the first limit that is exceeded, so a
+text that would take too long or too much memory is rejected cheaply.
 """
 
 from typing import Any, NamedTuple
@@ -18,16 +18,16 @@
 MAX_VALUES = 50_000
 MAX_ALIASES = 100
 MAX_LENGTH = 4096
-LIBRARY_DEPTH = "exceeded maximum nesting depth"
+LIBRARY_DEPTH_MESSAGE = "exceeded maximum nesting depth"
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 class Extent(NamedTuple):
-    """How large a value is with its aliases written out.
+    """The size of a value with its aliases expanded.
 
     Attributes:
       values: number of scalars, lists and mappings, keys included
-      height: levels of lists and mappings
+      height: number of nested levels of lists and mappings
     """
 
     values: int
@@ -35,12 +35,13 @@
 
 
 class Frame(NamedTuple):
-    """A list or mapping that is open.
+    """A list or mapping whose end event has not been read yet.
 
     Attributes:
-      anchor: its anchor, None when it has none
+      anchor: its anchor, or None
       start: number of values before it
-      heights: greatest height of its values so far, in a list of one
+      heights: greatest height of its values so far, in a mutable list of
+        one item
     """
 
     anchor: str | None
@@ -49,7 +50,7 @@
 
 
 class ScanError(Exception):
-    """The text goes beyond a bound.
+    """The text exceeds a limit.
 
     Attributes:
       code: kind of the finding
@@ -58,7 +59,7 @@
     """
 
     def __init__(self, code: FindingCode, message: str, hint: str) -> None:
-        """Keep the parts of the finding."""
+        """Create an error from the parts of a finding."""
         super().__init__(message)
         self.code = code
         self.message = message
@@ -69,7 +70,7 @@
     """State of a scan: open collections, anchors and totals."""
 
     def __init__(self) -> None:
-        """Begin before the first event."""
+        """Create a scan in its state before the first event."""
         self.documents = 0
         self.values = 0
         self.aliases = 0
@@ -80,7 +81,7 @@
         """Count one event.
 
         Raises:
-          ScanError: the text goes beyond a bound.
+          ScanError: The text exceeds a limit.
         """
         if isinstance(event, yaml.DocumentStartEvent):
             self.add_document()
@@ -97,7 +98,7 @@
             self.end_collection()
 
     def add_document(self) -> None:
-        """Count a document and refuse the second."""
+        """Count a document and reject a second one."""
         self.documents += 1
         if self.documents > 1:
             raise ScanError(
@@ -107,7 +108,7 @@
             )
 
     def add_alias(self, anchor: str) -> None:
-        """Count an alias as the value that it stands for."""
+        """Count an alias as the value that it refers to."""
         self.aliases += 1
         extent = self.anchors.get(anchor)
         if extent is None:
@@ -126,7 +127,7 @@
             raise
 
     def add_value(self, extent: Extent) -> None:
-        """Count a value with all that it holds."""
+        """Count a value with everything nested in it."""
         height = len(self.stack) + extent.height
         if height > MAX_DEPTH:
             raise ScanError(
@@ -146,7 +147,7 @@
             heights[0] = max(heights[0], extent.height)
 
     def keep_anchor(self, anchor: str | None, extent: Extent) -> None:
-        """Remember the extent of an anchored value."""
+        """Record the extent of an anchored value."""
         if anchor is not None:
             self.anchors[anchor] = extent
 
@@ -161,7 +162,7 @@
         self.keep_anchor(frame.anchor, extent)
 
     def refuse_expansion(self) -> ScanError:
-        """Return the error for aliases that stand for too much."""
+        """Return the error for aliases that expand to too many values."""
         return ScanError(
             FindingCode.ALIAS_EXPANSION,
             f"more than {MAX_ALIASES} aliases, or they stand for more than "
@@ -171,10 +172,10 @@
 
 
 def check_length(text: str) -> None:
-    """Refuse a scalar that is longer than any value can be.
+    """Reject a scalar that is longer than any valid value.
 
     Raises:
-      ScanError: it is too long.
+      ScanError: The scalar is too long.
     """
     if len(text) > MAX_LENGTH:
         raise ScanError(
@@ -185,7 +186,7 @@
 
 
 def scan_events(text: str, file_name: str) -> Finding | None:
-    """Return the first finding about the shape of a text, if any."""
+    """Return the first finding of the event scan, or None."""
     scan = EventScan()
     try:
         for event in yaml.parse(text, Loader=LOADER):
@@ -208,7 +209,7 @@
 
 
 def place_error(error: ScanError, mark: Any, file_name: str) -> Finding:
-    """Return the finding for a text that goes beyond a bound."""
+    """Return the finding for a text that exceeds a limit."""
     line = mark.line + 1 if mark else 1
     column = mark.column + 1 if mark else 1
     return Finding(
@@ -217,7 +218,7 @@
 
 
 def describe_error(error: Exception, file_name: str) -> Finding:
-    """Return the finding for a text that is not YAML."""
+    """Return the finding for a text that is not valid YAML."""
     mark = None
     message = str(error)
     if isinstance(error, yaml.MarkedYAMLError):
@@ -229,7 +230,7 @@
     line = mark.line + 1 if mark else 1
     column = mark.column + 1 if mark else 1
     code = FindingCode.BROKEN_YAML
-    if LIBRARY_DEPTH in message:
+    if LIBRARY_DEPTH_MESSAGE in message:
         code = FindingCode.TOO_DEEP
     message = " ".join(message.split())
     return Finding(file_name, line, column, code, message, hint)
--- a/chervilrock/configuration/findings.py
+++ b/chervilrock/configuration/findings.py
@@ -1,20 +1,20 @@
-"""Findings: what is wrong with an input, where, and how to mend it.
+"""Findings: what is wrong with an input, where, and how to fix it.
 
-This module is imported by serving processes and stays free of YAML, JSON
-Schema and the command line.
+Serving processes import this module, so it must not load YAML, JSON Schema or
+the command line.
 """
 
 from collections.abc import Iterable
 import enum
 from typing import NamedTuple
 
-QUOTE_LIMIT = 60
-HINT_LIMIT = 64
-LIKENESS = 0.6
+MAX_QUOTE_CHARACTERS = 60
+MAX_HINT_NAME_CHARACTERS = 64
+MIN_SIMILARITY = 0.6
 
 
 class FindingCode(enum.StrEnum):
-    """Stable name of a kind of finding; docs/configuration.md lists them."""
+    """Stable identifier of a kind of finding, documented for operators."""
 
     FILE_TOO_LARGE = "file-too-large"
     BAD_ENCODING = "bad-encoding"
@@ -58,15 +58,15 @@
 
 
 class Finding(NamedTuple):
-    """One fault of an input with its place.
+    """A fault in an input, with its location.
 
     Attributes:
       file: name of the file, or the flag or variable of a setting
-      line: line from 1, 0 when the input has no lines
-      column: column in characters from 1, 0 when the input has no lines
+      line: line number from 1, or 0 if the input has no lines
+      column: column in characters from 1, or 0 if the input has no lines
       code: kind of the finding
       message: what is wrong
-      hint: what to do about it, empty when there is nothing to add
+      hint: how to fix it, or an empty string
     """
 
     file: str
@@ -86,12 +86,12 @@
 
 
 class Fault(NamedTuple):
-    """What is wrong with a value, wherever it stands.
+    """A fault in a value, without its location.
 
     Attributes:
       code: kind of the finding
-      message: what is wrong, without the place
-      hint: what to do about it
+      message: what is wrong, without the location
+      hint: how to fix it, or an empty string
     """
 
     code: FindingCode
@@ -100,41 +100,42 @@
 
 
 def sort_findings(findings: Iterable[Finding]) -> tuple[Finding, ...]:
-    """Order findings by their place and drop doubles."""
+    """Sort findings by location and remove duplicates."""
     return tuple(sorted(set(findings)))
 
 
 def quote_value(value: object) -> str:
-    """Return a value for a message: printable, on one line and short."""
+    """Return a value as short, printable text on one line."""
     text = repr(value)
-    if len(text) <= QUOTE_LIMIT:
+    if len(text) <= MAX_QUOTE_CHARACTERS:
         return text
-    return text[: QUOTE_LIMIT - 3] + "..."
+    return text[: MAX_QUOTE_CHARACTERS - 3] + "..."
 
 
 def find_nearest(
-    name: str, known: Iterable[str], likeness: float = LIKENESS
+    name: str, known: Iterable[str], min_similarity: float = MIN_SIMILARITY
 ) -> str | None:
-    """Return the known name that is nearest, None when none is near.
+    """Return the most similar known name, or None if none is similar.
 
     Args:
-      name: a name that is not known
+      name: an unknown name
       known: the known names
-      likeness: from 0 for any name to 1 for equal names but for the case
+      min_similarity: from 0 for any name to 1 for names that differ only in
+        case
     """
-    if len(name) > HINT_LIMIT:
+    if len(name) > MAX_HINT_NAME_CHARACTERS:
         return None
-    # Only needed for a name that is wrong, so a serving process spares it.
+    # Only an unknown name needs this, so serving processes rarely load it.
     import difflib
 
     by_lower = {item.lower(): item for item in known}
     near = difflib.get_close_matches(
-        name.lower(), by_lower, n=1, cutoff=likeness
+        name.lower(), by_lower, n=1, cutoff=min_similarity
     )
     return by_lower[near[0]] if near else None
 
 
 def suggest_name(name: str, known: Iterable[str]) -> str:
-    """Return a hint with the known name that is nearest, or an empty text."""
+    """Return a hint with the most similar known name, or an empty string."""
     nearest = find_nearest(name, known)
     return f"did you mean {quote_value(nearest)}?" if nearest else ""
--- a/chervilrock/configuration/places.py
+++ b/chervilrock/configuration/places.py
@@ -1,4 +1,4 @@
-"""Places of the values of a document, by their path."""
+"""Locations of the values of a document, by path."""
 
 import re
 from typing import NamedTuple
@@ -10,12 +10,12 @@
 
 
 class Place(NamedTuple):
-    """Where something stands in a file.
+    """The location of a value or key in a file.
 
     Attributes:
-      line: line from 1
+      line: line number from 1
       column: column in characters from 1
-      text: the scalar as it is written, empty for a list or a mapping
+      text: the scalar as written; empty for a list or a mapping
     """
 
     line: int
@@ -24,13 +24,14 @@
 
 
 class Document(NamedTuple):
-    """A document as plain data, with the place of every value.
+    """A document as plain data, with the location of every value.
 
     Attributes:
-      value: dicts, lists and scalars; `OddScalar` where YAML 1.1 misleads
-      places: place of each value by its path
-      keys: place of each key by the path of its value
-      bad: paths that have a finding already, whose value means nothing
+      value: dicts, lists and scalars; `OddScalar` for scalars that YAML 1.1
+        reads in a surprising way
+      places: location of each value by its path
+      keys: location of each key by the path of its value
+      bad: paths that already have a finding; their values are meaningless
     """
 
     value: object
@@ -40,19 +41,19 @@
 
 
 def find_place(document: Document, path: Path) -> Place:
-    """Return the place of a value, or of the nearest value around it."""
+    """Return the location of a value, or of its nearest known ancestor."""
     while path and path not in document.places:
         path = path[:-1]
     return document.places.get(path, Place(1, 1))
 
 
 def find_key_place(document: Document, path: Path) -> Place:
-    """Return the place of the key of a value, or else of the value."""
+    """Return the location of the key of a value, or else of the value."""
     return document.keys.get(path) or find_place(document, path)
 
 
 def render_path(path: Path) -> str:
-    """Return a path as operators write it, such as `models[0].name`."""
+    """Return a path in operator notation, such as `models[0].name`."""
     text = ""
     for step in path:
         if isinstance(step, int):
--- a/chervilrock/configuration/report.py
+++ b/chervilrock/configuration/report.py
@@ -1,4 +1,4 @@
-"""Collects findings about the values of a document with their places."""
+"""Collects findings about a document, with their locations."""
 
 from collections.abc import Mapping
 
@@ -13,7 +13,7 @@
 
 
 class Report:
-    """Findings about one document."""
+    """The findings about one document."""
 
     def __init__(
         self,
@@ -22,13 +22,13 @@
         document: Document,
         origins: Mapping[Path, Path] | None = None,
     ) -> None:
-        """Begin without findings.
+        """Create a report without findings.
 
         Args:
-          file_name: name for the findings
-          document: the places
+          file_name: file name to show in the findings
+          document: the document, for its locations
           origins: path in the document of each list item of the checked
-            value, when faulty items were left out of that value
+            value, needed if faulty items were left out of that value
         """
         self.file_name = file_name
         self.document = document
@@ -36,23 +36,23 @@
         self.findings: list[Finding] = []
 
     def add_value(self, path: Path, fault: Fault) -> None:
-        """Add a finding at a value."""
+        """Add a finding at the location of a value."""
         origin = self.find_origin(path)
         place = find_place(self.document, origin)
         self.add_finding(place.line, place.column, origin, fault)
 
     def add_key(self, path: Path, fault: Fault) -> None:
-        """Add a finding at the key of a value."""
+        """Add a finding at the location of the key of a value."""
         origin = self.find_origin(path)
         place = find_key_place(self.document, origin)
         self.add_finding(place.line, place.column, origin, fault)
 
     def find_line(self, path: Path) -> int:
-        """Return the line of a value."""
+        """Return the line number of a value."""
         return find_place(self.document, self.find_origin(path)).line
 
     def find_origin(self, path: Path) -> Path:
-        """Return the path in the document of a path in the checked value."""
+        """Map a path in the checked value to its path in the document."""
         for end in range(len(path), 0, -1):
             origin = self.origins.get(path[:end])
             if origin is not None:
--- a/chervilrock/configuration/scalars.py
+++ b/chervilrock/configuration/scalars.py
@@ -1,8 +1,8 @@
-"""Values of YAML scalars, without the traps of YAML 1.1.
+"""Converts YAML scalars, avoiding the surprises of YAML 1.1.
 
 YAML 1.1 reads `1:30` as 90, `010` as 8 and `2024-01-31` as a date. Such plain
 scalars become an `OddScalar`, which no schema type accepts, so that the
-operator is told to quote the text or to write a plain decimal number.
+operator gets a hint to quote the text or to write a plain decimal number.
 """
 
 import enum
@@ -24,7 +24,7 @@
 
 
 class OddKind(enum.StrEnum):
-    """What YAML 1.1 makes of a plain scalar that is not plain JSON."""
+    """How YAML 1.1 reads a plain scalar that is not plain JSON."""
 
     NUMBER = "a number in a form that is not plain decimal"
     DATE = "a date"
@@ -33,11 +33,11 @@
 
 
 class OddScalar(NamedTuple):
-    """A scalar whose reading by YAML 1.1 would surprise its writer.
+    """A scalar that YAML 1.1 reads in a surprising way.
 
     Attributes:
-      text: the scalar as it is written
-      kind: what YAML 1.1 takes it for
+      text: the scalar as written
+      kind: how YAML 1.1 reads it
     """
 
     text: str
@@ -48,7 +48,7 @@
 
 
 def convert_scalar(text: str, tag: str) -> Scalar:
-    """Return the value of a scalar; `INVALID` when its tag is not known."""
+    """Return the value of a scalar; kind `INVALID` if its tag is unknown."""
     if tag in STRING_TAGS:
         return text
     if tag == INTEGER_TAG:
@@ -65,14 +65,14 @@
 
 
 def convert_integer(text: str) -> int | OddScalar:
-    """Return a decimal integer of at most 18 digits."""
+    """Parse a decimal integer of at most 18 digits."""
     if DECIMAL.fullmatch(text):
         return int(text)
     return OddScalar(text, OddKind.NUMBER)
 
 
 def convert_float(text: str) -> float | OddScalar:
-    """Return a finite decimal number."""
+    """Parse a finite decimal number."""
     if FRACTION.fullmatch(text):
         value = float(text)
         if math.isfinite(value):
@@ -81,6 +81,6 @@
 
 
 def convert_boolean(text: str) -> bool | OddScalar:
-    """Return true or false; yes, no, on and off are odd."""
+    """Parse true or false; yes, no, on and off become an `OddScalar`."""
     value = BOOLEANS.get(text.lower())
     return OddScalar(text, OddKind.WORD) if value is None else value
--- a/chervilrock/configuration/schema.py
+++ b/chervilrock/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of configuration files, as the package carries it."""
+"""Loads the JSON Schema of configuration files from the package."""
 
 import functools
 import importlib.resources
@@ -11,7 +11,7 @@
 
 @functools.cache
 def load_schema() -> dict[str, Any]:
-    """Return the schema whose root is the definition `Configuration`."""
+    """Return the schema with the definition `Configuration` as its root."""
     folder = importlib.resources.files("chervilrock") / "schema"
     text = (folder / "configuration.yaml").read_text(encoding="utf-8")
     schema: dict[str, Any] = yaml.safe_load(text)
@@ -19,7 +19,7 @@
 
 
 def resolve_schema(node: dict[str, Any]) -> dict[str, Any]:
-    """Return a schema node, or the definition that it refers to."""
+    """Return a schema node with its reference, if any, resolved."""
     if "$ref" not in node:
         return node
     name = str(node["$ref"]).rpartition("/")[2]
--- a/chervilrock/configuration/schema_check.py
+++ b/chervilrock/configuration/schema_check.py
@@ -23,7 +23,7 @@
 from chervilrock.configuration.value_fault import describe_fault
 
 MAX_ERRORS = 1000
-TOO_MANY = Fault(
+ERROR_LIMIT_FAULT = Fault(
     FindingCode.TOO_MANY_FINDINGS,
     f"more than {MAX_ERRORS} faults, the rest is not listed",
     "mend these and check again",
@@ -42,12 +42,12 @@
 
 
 class SchemaReport(NamedTuple):
-    """What the schema says about a document.
+    """The result of validating a document against the schema.
 
     Attributes:
-      findings: all faults
-      bad: paths of the values that cannot be used
-      complete: False when there were more faults than are reported
+      findings: all faults found
+      bad: paths of the unusable values
+      complete: whether every fault is reported
     """
 
     findings: tuple[Finding, ...]
@@ -56,7 +56,7 @@
 
 
 def check_schema(document: Document, file_name: str) -> SchemaReport:
-    """Check all values of a document; report every fault at once."""
+    """Check all values of a document and report all faults together."""
     report = Report(file_name=file_name, document=document)
     bad = set(document.bad)
     value = cast(Any, document.value)
@@ -66,7 +66,7 @@
     )
     complete = len(errors) <= MAX_ERRORS
     if not complete:
-        report.add_value((), TOO_MANY)
+        report.add_value((), ERROR_LIMIT_FAULT)
     for error in sort_errors(errors):
         path = tuple(error.absolute_path)
         if path in document.bad:
@@ -86,7 +86,7 @@
 
 @functools.cache
 def make_validator() -> Validator:
-    """Return a validator to which 1.0 is no integer and NaN no number."""
+    """Return a validator that rejects 1.0 as an integer and NaN as a number."""
     checker = jsonschema.Draft202012Validator.TYPE_CHECKER.redefine_many(
         {
             "integer": lambda _, value: is_whole(value),
@@ -100,17 +100,17 @@
 
 
 def is_whole(value: object) -> bool:
-    """Tell whether a value is an integer."""
+    """Return whether a value is an integer and no boolean."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def is_finite(value: object) -> bool:
-    """Tell whether a value is a finite floating-point number."""
+    """Return whether a value is a finite floating-point number."""
     return isinstance(value, float) and math.isfinite(value)
 
 
 def sort_errors(errors: Iterable[ValidationError]) -> list[ValidationError]:
-    """Order errors so that the most telling one of a value comes first."""
+    """Sort errors so that the most specific one of a value comes first."""
 
     def rank(error: ValidationError) -> int:
         keyword = str(error.validator)
@@ -124,7 +124,7 @@
 def add_unknown_keys(
     report: Report, path: Path, error: ValidationError
 ) -> list[Path]:
-    """Add a finding for each key that the schema does not know."""
+    """Add a finding for each key that is not in the schema."""
     known = list(cast(dict[str, Any], error.schema)["properties"])
     present = cast(dict[str, Any], error.instance)
     unknown = [(*path, key) for key in present if key not in known]
@@ -142,7 +142,7 @@
 def add_missing_keys(
     report: Report, path: Path, error: ValidationError
 ) -> None:
-    """Add a finding for each required key that is not there."""
+    """Add a finding for each required key that is missing."""
     present = cast(dict[str, Any], error.instance)
     wanted = cast(list[str], error.validator_value)
     missing = [key for key in wanted if key not in present]
--- a/chervilrock/configuration/setting_value.py
+++ b/chervilrock/configuration/setting_value.py
@@ -1,4 +1,4 @@
-"""Reads the value of one setting from its text."""
+"""Parses the text of one setting."""
 
 import math
 import re
@@ -22,7 +22,7 @@
 
 
 def parse_setting(name: str, text: str) -> SettingValue | Fault:
-    """Return the value in a text, or what is wrong with it."""
+    """Parse the value of a setting, or return the fault."""
     if name in bounds.RANGES:
         return parse_number(name, text)
     if name in bounds.CHOICES:
@@ -35,7 +35,7 @@
 
 
 def parse_number(name: str, text: str) -> int | float | Fault:
-    """Return a number within its range."""
+    """Parse a number and check its range."""
     whole = NodeSettings.__annotations__[name] is int
     form = INTEGER if whole else NUMBER
     if not form.fullmatch(text):
@@ -56,7 +56,7 @@
 
 
 def parse_choice(choices: tuple[str, ...], text: str) -> str | Fault:
-    """Return a text that is one of the choices."""
+    """Return the text if it is one of the choices."""
     if text in choices:
         return text
     return Fault(
@@ -67,7 +67,7 @@
 
 
 def parse_name(text: str) -> str | Fault:
-    """Return a name in its permitted form."""
+    """Return the text if it is a valid name."""
     if len(text) <= bounds.NAME_LENGTH and bounds.NAME.fullmatch(text):
         return text
     return Fault(
@@ -78,7 +78,7 @@
 
 
 def parse_endpoint(name: str, text: str) -> str | Fault:
-    """Return an address as IP:port; an optional one may be empty."""
+    """Return a normalized IP:port address; optional ones may be empty."""
     if not text and name in DEFAULTS:
         return text
     address = parse_address(text)
@@ -94,7 +94,10 @@
 
 
 def parse_endpoints(text: str) -> str | Fault:
-    """Return addresses with commas between; spaces around are dropped."""
+    """Return a comma-separated list of unique, normalized addresses.
+
+    Spaces around the addresses are dropped.
+    """
     addresses = []
     for part in filter(None, (item.strip() for item in text.split(","))):
         address = parse_address(part)
@@ -105,7 +108,7 @@
 
 
 def refuse_address(text: str) -> Fault:
-    """Return the fault for a text that is no address."""
+    """Return the fault for a malformed address."""
     return Fault(
         FindingCode.BAD_ADDRESS,
         f"{quote_value(text)} is not IP:port",
--- a/chervilrock/configuration/settings.py
+++ b/chervilrock/configuration/settings.py
@@ -1,8 +1,8 @@
-"""Settings of a node from flags and environment variables.
+"""Reads the settings of a node from flags and environment variables.
 
-All settings are checked and all findings are returned together; the file of
-a finding is the flag or the variable that gave the value. A serving process
-imports this module: it loads neither YAML nor JSON Schema nor typer.
+All settings are checked and all findings are returned together; the file of a
+finding is the flag or variable that supplied the value. Serving processes
+import this module, so it must not load YAML, JSON Schema or typer.
 """
 
 from collections.abc import Mapping
@@ -26,19 +26,19 @@
 from chervilrock.generated.settings import NodeSettings
 
 PREFIX = "CHERVILROCK_"
-VARIABLE_LIKENESS = 0.7
+MIN_VARIABLE_SIMILARITY = 0.7
 DEFAULTS = NodeSettings._field_defaults
 NAMES = NodeSettings._fields
-LIMIT_NAMES = ("presence_limit_ms", "probe_interval_ms")
+PRESENCE_PROBE_NAMES = ("presence_limit_ms", "probe_interval_ms")
 
 FlagValue = str | int | float | None
 
 
 class Given(NamedTuple):
-    """A value with where it came from.
+    """A supplied value with its source.
 
     Attributes:
-      source: the flag or the variable
+      source: the flag or environment variable
       text: the value as text
     """
 
@@ -49,10 +49,10 @@
 def read_settings(
     flags: Mapping[str, FlagValue], environment: Mapping[str, str]
 ) -> Result[NodeSettings, tuple[Finding, ...]]:
-    """Read the settings of a node; a flag wins over a variable.
+    """Read the settings of a node; flags take precedence over variables.
 
     Args:
-      flags: values by the name of the setting, None for a flag not given
+      flags: values by setting name, None for flags not given
       environment: all environment variables
 
     Returns:
@@ -74,19 +74,19 @@
 
 
 def name_flag(name: str) -> str:
-    """Return the flag of a setting."""
+    """Return the flag name of a setting."""
     return f"--{name.replace('_', '-')}"
 
 
 def name_variable(name: str) -> str:
-    """Return the environment variable of a setting."""
+    """Return the environment variable name of a setting."""
     return f"{PREFIX}{name.upper()}"
 
 
 def collect_given(
     flags: Mapping[str, FlagValue], environment: Mapping[str, str]
 ) -> dict[str, Given]:
-    """Return the value of each setting that is given."""
+    """Return the supplied value of each setting that has one."""
     given: dict[str, Given] = {}
     for name in NAMES:
         flag = flags.get(name)
@@ -119,9 +119,10 @@
 def list_unknown(
     flags: Mapping[str, FlagValue], environment: Mapping[str, str]
 ) -> list[Finding]:
-    """Return findings for flags and variables that nearly name a setting.
+    """Return findings for unknown flags and misspelt variables.
 
-    Other variables with the prefix may belong to other programs.
+    Only variables that resemble a setting count, since other variables with
+    the prefix may belong to other programs.
     """
     findings = []
     for name in sorted(set(flags) - set(NAMES)):
@@ -136,7 +137,7 @@
         if not variable.startswith(PREFIX) or variable in known:
             continue
         name = variable.removeprefix(PREFIX).lower()
-        nearest = find_nearest(name, NAMES, VARIABLE_LIKENESS)
+        nearest = find_nearest(name, NAMES, MIN_VARIABLE_SIMILARITY)
         if nearest is None:
             continue
         fault = Fault(
@@ -151,7 +152,7 @@
 def list_conflicts(
     values: Mapping[str, SettingValue], given: Mapping[str, Given]
 ) -> list[Finding]:
-    """Return findings for settings that contradict each other."""
+    """Return findings for conflicting settings."""
     findings = []
     listen = parse_address(str(values.get("listen", "")))
     unspecified = listen is not None and is_unspecified(listen)
@@ -162,7 +163,7 @@
             f"give {name_flag('advertise')}",
         )
         findings.append(make_finding(name_source(given, ("listen",)), fault))
-    limit, interval = (values.get(name) for name in LIMIT_NAMES)
+    limit, interval = (values.get(name) for name in PRESENCE_PROBE_NAMES)
     if limit is None or interval is None or int(limit) > int(interval):
         return findings
     fault = Fault(
@@ -171,12 +172,14 @@
         f"{interval} ms",
         "make presence_limit_ms several times probe_interval_ms",
     )
-    findings.append(make_finding(name_source(given, LIMIT_NAMES), fault))
+    findings.append(
+        make_finding(name_source(given, PRESENCE_PROBE_NAMES), fault)
+    )
     return findings
 
 
 def name_source(given: Mapping[str, Given], names: tuple[str, ...]) -> str:
-    """Return the source of the first of some settings that is given."""
+    """Return the source of the first of these settings that was supplied."""
     for name in names:
         if name in given:
             return given[name].source
--- a/chervilrock/configuration/source.py
+++ b/chervilrock/configuration/source.py
@@ -1,4 +1,4 @@
-"""Text of a configuration file: size, encoding and permitted characters."""
+"""Decodes configuration files and checks size, encoding and characters."""
 
 import re
 from typing import NamedTuple
@@ -16,11 +16,11 @@
 
 
 class Source(NamedTuple):
-    """The text of a file, or why it cannot be read as text.
+    """The text of a file, or why it cannot be decoded.
 
     Attributes:
-      text: the decoded text, empty when there is a finding
-      finding: the fault, None when the text may be parsed
+      text: the decoded text, or empty if there is a finding
+      finding: the fault, or None if the text may be parsed
     """
 
     text: str
@@ -28,11 +28,11 @@
 
 
 def decode_source(data: bytes | str, file_name: str) -> Source:
-    """Decode a file as UTF-8 and refuse what YAML does not permit.
+    """Decode a file as UTF-8 and reject what YAML does not permit.
 
     Args:
-      data: content of the file, at most `MAX_BYTES` long
-      file_name: name for the finding
+      data: content of the file; longer than `MAX_BYTES` is rejected
+      file_name: file name to show in the finding
     """
     if len(data) > MAX_BYTES:
         return refuse_source(
@@ -60,7 +60,7 @@
 
 
 def check_characters(text: str, file_name: str) -> Source:
-    """Refuse a byte order mark and characters that YAML forbids."""
+    """Reject a byte order mark and characters that YAML forbids."""
     if text.startswith(BYTE_ORDER_MARK):
         return refuse_mark(file_name)
     forbidden = FORBIDDEN.search(text)
@@ -76,7 +76,7 @@
 
 
 def check_directives(text: str, file_name: str) -> Source:
-    """Refuse directives but `%YAML`; many of them take very long to parse."""
+    """Reject directives except `%YAML`; many are very slow to parse."""
     found = DIRECTIVE.search(text)
     if found is None:
         return Source(text, None)
@@ -103,7 +103,7 @@
 def refuse_source(
     file_name: str, before: str, code: FindingCode, message: str, hint: str
 ) -> Source:
-    """Return a finding that stands just after the text `before`."""
+    """Return a finding located just after the text `before`."""
     line = 1 + sum(before.count(mark) for mark in LINE_BREAKS)
     line -= before.count("\r\n")
     start = 1 + max(before.rfind(mark) for mark in LINE_BREAKS)
--- a/chervilrock/configuration/value_fault.py
+++ b/chervilrock/configuration/value_fault.py
@@ -1,4 +1,4 @@
-"""Says in the words of operators why the schema refuses a value."""
+"""Translates schema validation errors into messages for operators."""
 
 from typing import Any, cast
 
@@ -33,12 +33,12 @@
 
 
 def describe_fault(error: ValidationError, text: str) -> Fault:
-    """Return the fault for one error of the schema.
+    """Return the fault for one schema validation error.
 
     Args:
-      error: the error
-      text: the scalar as it is written, empty for a list or mapping and
-        when the document was no text
+      error: the validation error
+      text: the scalar as written; empty for a list or mapping and if the
+        document was already decoded
     """
     if not text and isinstance(error.instance, int | float):
         text = str(error.instance)
@@ -61,7 +61,7 @@
 
 
 def describe_type(value: object, wanted: str, text: str) -> Fault:
-    """Return the fault for a value of another type than wanted."""
+    """Return the fault for a value of the wrong type."""
     name = TYPE_NAMES[wanted]
     if value is None and text == "":
         return Fault(
@@ -88,7 +88,7 @@
 
 
 def describe_unquoted(value: object, text: str) -> Fault:
-    """Return the fault for a text that YAML takes for something else."""
+    """Return the fault for an unquoted text that YAML reads as another type."""
     if isinstance(value, OddScalar):
         reading = str(value.kind)
     elif isinstance(value, bool):
@@ -105,7 +105,7 @@
 
 
 def hint_number(value: object) -> str:
-    """Return a hint for a text that stands in place of a number."""
+    """Return a hint for a string given instead of a number."""
     if not isinstance(value, str):
         return ""
     try:
@@ -116,7 +116,7 @@
 
 
 def describe_choice(value: object, choices: list[str]) -> Fault:
-    """Return the fault for a value that is none of the choices."""
+    """Return the fault for a value that is not one of the choices."""
     hint = suggest_name(value, choices) if isinstance(value, str) else ""
     return Fault(
         FindingCode.UNKNOWN_CHOICE,
@@ -126,7 +126,7 @@
 
 
 def describe_form(value: object, schema: Any) -> Fault:
-    """Return the fault for a text of another form than wanted."""
+    """Return the fault for a text that does not match the pattern."""
     form = " ".join(str(schema.get("x-form", schema["pattern"])).split())
     return Fault(
         FindingCode.BAD_FORM,
