--- a/chervilrock/standin/site/__init__.py
+++ b/chervilrock/standin/site/__init__.py
@@ -1,5 +1,5 @@
 """Stand-in for the users' platform: store, servers and operator.
 
-It speaks the published protocol over loopback, keeps everything in memory, and
-can be told to misbehave.
+It serves the published protocol over loopback, keeps all data in memory and
+supports fault injection.
 """
--- a/chervilrock/standin/site/proxy.py
+++ b/chervilrock/standin/site/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that disturbs connections."""
+"""A TCP proxy on loopback that injects faults into connections."""
 
 import asyncio
 import enum
@@ -9,14 +9,15 @@
 
 
 class LinkFault(enum.Enum):
-    """What happens to bytes.
+    """Faults of the proxied connections.
 
     Attributes:
-      NONE: they pass.
-      DELAYED: they pass later.
-      SILENT: they are held back, in both ways.
-      ONE_WAY: requests pass and answers are held back.
-      RESET: connections are closed, also new ones.
+      NONE: bytes are forwarded.
+      DELAYED: bytes are forwarded after a delay.
+      SILENT: bytes are delayed in both directions until the fault changes.
+      ONE_WAY: requests are forwarded; answers are delayed until the fault
+        changes.
+      RESET: open connections and new ones are closed.
     """
 
     NONE = "none"
@@ -27,16 +28,16 @@
 
 
 class LinkProxy:
-    """Passes connections on to an address.
+    """Forwards connections to an address.
 
     Attributes:
       address: IP:port of the proxy.
-      fault: what happens to bytes from now on.
-      delay_s: delay of bytes while they are delayed.
+      fault: the injected fault; applies to open connections as well.
+      delay_s: delay of each chunk of bytes while the fault is `DELAYED`.
     """
 
     def __init__(self, *, target: str) -> None:
-        """Pass on to IP:port; `start` listens."""
+        """Create a proxy for the address IP:port; `start` listens."""
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         self._server: asyncio.Server | None = None
@@ -46,13 +47,13 @@
         self.delay_s = 0.1
 
     async def start(self) -> None:
-        """Listen on any free port of loopback."""
+        """Listen on a free port of the loopback interface."""
         (listener,) = netutil.bind_sockets(0, "127.0.0.1")
         self.address = f"127.0.0.1:{listener.getsockname()[1]}"
         self._server = await asyncio.start_server(self._accept, sock=listener)
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the listening socket and all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -73,36 +74,42 @@
         try:
             if self.fault is LinkFault.RESET:
                 return
-            there, back = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(
+                *self._target
+            )
             try:
                 async with asyncio.TaskGroup() as group:
-                    group.create_task(self._copy(reader, back, False))
-                    group.create_task(self._copy(there, writer, True))
+                    group.create_task(
+                        self._forward(reader, target_writer, False)
+                    )
+                    group.create_task(
+                        self._forward(target_reader, writer, True)
+                    )
             finally:
-                back.close()
+                target_writer.close()
         except (OSError, ExceptionGroup):
-            # Either side has closed; the other one is closed below.
+            # One side has closed its connection; the other is closed below.
             return
         finally:
             writer.close()
 
-    async def _copy(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         is_answer: bool,
     ) -> None:
-        """Copy bytes until one side closes, and then close the other."""
+        """Forward bytes until one side closes, then raise to close both."""
         while True:
             data = await reader.read(CHUNK_BYTES)
-            await self._disturb(is_answer)
+            await self._apply_fault(is_answer)
             if not data:
                 raise ConnectionResetError
             writer.write(data)
             await writer.drain()
 
-    async def _disturb(self, is_answer: bool) -> None:
-        """Wait or fail as the fault says."""
+    async def _apply_fault(self, is_answer: bool) -> None:
+        """Delay the bytes or raise an error according to the fault."""
         if self.fault is LinkFault.DELAYED:
             await asyncio.sleep(self.delay_s)
         while self.fault is LinkFault.SILENT or (
--- a/chervilrock/standin/site/servers.py
+++ b/chervilrock/standin/site/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers: model servers with groups, and plain ones."""
+"""Backend servers: hosts of replica groups, and plain servers."""
 
 import asyncio
 from collections.abc import Collection
@@ -13,30 +13,30 @@
 
 from chervilrock.standin.site.store import SiteStore
 
-EVENT_S = 0.01
-"""Time between two events of a stream."""
+EVENT_INTERVAL_S = 0.01
+"""Interval between stream events; also the run time of a plain request."""
 
-FORM_S = 0.02
-JOIN_S = 0.02
+FORM_DURATION_S = 0.02
+JOIN_DURATION_S = 0.02
 
-CRASH_S = 0.03
-"""Time for which a request runs that crashes its server."""
+CRASH_DELAY_S = 0.03
+"""Time from the start of a crashing request to the crash of its server."""
 
-DOWN_S = 0.5
-"""Time until a server that has crashed starts again."""
+RESTART_DELAY_S = 0.5
+"""Time from the crash of a server to its restart."""
 
 
 class ServerFault(enum.Enum):
-    """How a server misbehaves.
+    """Faults of a server.
 
     Attributes:
-      NONE: it does not.
-      SILENT: streams make no events and new ones wait.
-      BREAK: streams end in the middle of an event.
-      FAIL: it answers each request with a failure of its own.
-      LOSE: it runs requests and closes the connection without an answer.
-      FOREIGN: it answers with the identifier of another request.
-      FULL: it turns each request away.
+      NONE: the server works normally.
+      SILENT: streams stall, and new ones send no events.
+      BREAK: connections of streams close in the middle of an event.
+      FAIL: plain requests are answered with status 500.
+      LOSE: requests are run, but the connection is closed without an answer.
+      FOREIGN: answers carry the identifier of another request.
+      FULL: each request is rejected before it runs.
     """
 
     NONE = "none"
@@ -49,7 +49,7 @@
 
 
 class Run(NamedTuple):
-    """A request that a server began to work on."""
+    """A request that a server began to run."""
 
     request_id: str
     workspace: str
@@ -59,7 +59,13 @@
 
 
 class Crash(NamedTuple):
-    """The end of a server under a request."""
+    """A crash of a server during a request.
+
+    Attributes:
+      server: identifier of the server before the crash.
+      body: body of the request that caused the crash.
+      companions: number of other requests that ran at the same time.
+    """
 
     server: str
     body: bytes
@@ -70,16 +76,18 @@
     """A server that registers in the store and answers over HTTP.
 
     Attributes:
-      runs: requests that it began to work on.
-      left: requests whose caller closed the connection before the end.
-      running: requests that it works on.
+      runs: requests that the server began to run.
+      left: streams whose caller closed the connection before the end.
+      running: number of requests that are running.
       orders: orders in the sequence of their arrival.
-      lost_orders: orders that are obeyed without an answer from now on.
-      crashing_bodies: bodies of requests that crash whichever server begins
-        to run them.
-      crashes: the bodies that crashed it, with the identifier it had then.
-      limit: the limit that it names in its answers, empty for none.
-      arrivals: when requests reached it, run or not, on the clock of the loop.
+      lost_orders: number of next orders that are carried out but not
+        answered.
+      crashing_bodies: bodies of requests that crash any server that runs
+        them.
+      crashes: crashes of the server so far.
+      limit: the limit that the server reports in its answers, empty for none.
+      arrivals: arrival times of requests, rejected ones included, on the
+        clock of the event loop.
     """
 
     def __init__(
@@ -91,7 +99,7 @@
         data_centre: str = "a",
         crashing_bodies: Collection[bytes] = (),
     ) -> None:
-        """Make a server that does not listen yet."""
+        """Create a server that does not listen yet."""
         self.server = f"i-{uuid.uuid4().hex[:10]}"
         self.service = service
         self.domain = domain
@@ -108,7 +116,7 @@
         self.is_leaving = False
         self.staged: list[str] = []
         self.group: dict[str, object] | None = None
-        self.highest = -1
+        self.highest_epoch = -1
         self.born = 1_700_000_000_000
         self._sequence = itertools.count(1)
         self._store = store
@@ -142,7 +150,7 @@
         self._http.add_sockets(sockets)
 
     async def stop(self) -> None:
-        """Close everything without a word, as a crash does."""
+        """Close all connections without notice, as a crash does."""
         restart = self._restart
         if restart is not None and restart is not asyncio.current_task():
             restart.cancel()
@@ -151,23 +159,23 @@
             await self._http.close_all_connections()
 
     def crash(self, body: bytes) -> None:
-        """End at once, and start again some time later as another server."""
+        """Crash, and restart after a delay under a new identifier."""
         if self._is_down:
             return
         self._is_down = True
         companions = self.running - 1
         self.crashes.append(Crash(self.server, body, companions))
         self._restart = asyncio.get_running_loop().create_task(
-            self._stop_and_start()
+            self._restart_after_crash()
         )
 
-    async def _stop_and_start(self) -> None:
+    async def _restart_after_crash(self) -> None:
         await self.stop()
-        await asyncio.sleep(DOWN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         self.unregister()
         self.server = f"i-{uuid.uuid4().hex[:10]}"
         self.group = None
-        self.highest = -1
+        self.highest_epoch = -1
         self.staged = []
         self.fault = ServerFault.NONE
         self._is_down = False
@@ -175,7 +183,7 @@
         self.register()
 
     def register(self) -> None:
-        """Write the entry of this server."""
+        """Write the entry of this server to the store."""
         entry = {
             "service": self.service,
             "address": self.address,
@@ -195,16 +203,16 @@
         self._store.topic("keyed.servers").append(self.server, value)
 
     def unregister(self) -> None:
-        """Remove the entry of this server."""
+        """Remove the entry of this server from the store."""
         self._store.topic("keyed.servers").append(self.server, b"")
 
     def leave(self) -> None:
-        """Report that it takes no new work soon."""
+        """Report that the server drains and will accept no new requests."""
         self.is_leaving = True
         self.register()
 
     def obey(self, order: dict[str, object]) -> int:
-        """Carry an order out and return the status of the answer."""
+        """Carry out an order and return the HTTP status of the answer."""
         self.orders.append(order)
         kind = order.get("op")
         if kind == "stage":
@@ -214,24 +222,24 @@
             return 400
         if kind == "join":
             return self._join(order, epoch)
-        held = self.group
-        if held is None or held["epoch"] != epoch:
+        group = self.group
+        if group is None or group["epoch"] != epoch:
             return 409
         if kind == "leave":
             self.group = None
             self.register()
             return 200
         if kind == "close":
-            self.group = held | {"state": "ready"}
+            self.group = group | {"state": "ready"}
             self.register()
             return 200
         if kind != "open":
             return 400
-        if held["state"] == "open":
+        if group["state"] == "open":
             return 200
-        if held["state"] != "ready":
+        if group["state"] != "ready":
             return 409
-        self.group = held | {"state": "open"}
+        self.group = group | {"state": "open"}
         self.register()
         return 202
 
@@ -246,12 +254,12 @@
         members = order.get("members")
         if not isinstance(members, list) or self.server not in members:
             return 400
-        held = self.group
-        if held is not None and held["epoch"] == epoch:
-            return 202 if held["state"] == "joining" else 200
-        if epoch < self.highest:
+        group = self.group
+        if group is not None and group["epoch"] == epoch:
+            return 202 if group["state"] == "joining" else 200
+        if epoch < self.highest_epoch:
             return 412
-        self.highest = epoch
+        self.highest_epoch = epoch
         self.staged = [str(order.get("model"))]
         self.group = {
             "name": order.get("group"),
@@ -260,28 +268,28 @@
             "state": "joining",
         }
         loop = asyncio.get_running_loop()
-        loop.call_later(JOIN_S, self._finish_join, epoch)
+        loop.call_later(JOIN_DURATION_S, self._finish_join, epoch)
         return 202
 
     def _finish_join(self, epoch: int) -> None:
-        held = self.group
-        if held is not None and held["epoch"] == epoch:
-            self.group = held | {"state": "ready"}
+        group = self.group
+        if group is not None and group["epoch"] == epoch:
+            self.group = group | {"state": "ready"}
             self.register()
 
 
 class _Handler(web.RequestHandler):
     def initialize(self, server: SiteServer) -> None:
-        """Serve a server."""
+        """Set the server that answers the request."""
         self.server = server
 
     def prepare(self) -> None:
-        """Name the limit in each answer."""
+        """Report the limit of the server in each answer."""
         if self.server.limit:
             self.set_header("Server-Limit", self.server.limit)
 
-    def is_misdirected(self) -> bool:
-        """Answer a request that is meant for another server."""
+    def reject_misdirected(self) -> bool:
+        """Reject a request meant for another server; return whether it was."""
         expected = self.request.headers.get("X-Expect-Instance", "")
         if not expected or expected == self.server.server:
             return False
@@ -293,7 +301,7 @@
 
 class _ReportHandler(_Handler):
     def get(self) -> None:
-        """Answer with the state."""
+        """Answer with the status of the server."""
         server = self.server
         self.finish(
             {
@@ -309,8 +317,8 @@
 
 class _OrderHandler(_Handler):
     def post(self) -> None:
-        """Obey an order."""
-        if self.is_misdirected():
+        """Carry out an order."""
+        if self.reject_misdirected():
             return
         status = self.server.obey(msgspec.json.decode(self.request.body))
         if self.server.lost_orders > 0:
@@ -323,17 +331,17 @@
 
 class _RequestHandler(_Handler):
     _is_closed = False
-    _run_id = ""
+    _stream_request_id = ""
 
     def on_connection_close(self) -> None:
-        """Note that the caller has left."""
+        """Record that the caller has closed the connection."""
         self._is_closed = True
-        if self._run_id:
-            self.server.left.append(self._run_id)
+        if self._stream_request_id:
+            self.server.left.append(self._stream_request_id)
 
     async def get(self) -> None:
         """Run a request."""
-        if self.is_misdirected():
+        if self.reject_misdirected():
             return
         server = self.server
         server.arrivals.append(asyncio.get_running_loop().time())
@@ -373,8 +381,8 @@
 
     async def _answer(self, run: Run) -> None:
         self.server.runs.append(run)
-        await asyncio.sleep(EVENT_S)
-        if self._crashes_server():
+        await asyncio.sleep(EVENT_INTERVAL_S)
+        if self._is_crashing():
             await self._crash()
             return
         if self.server.fault is ServerFault.FAIL:
@@ -389,9 +397,9 @@
             self.finish()
             return
         server.runs.append(run)
-        self._run_id = run.request_id
+        self._stream_request_id = run.request_id
         self.set_header("Content-Type", "text/event-stream")
-        if self._crashes_server():
+        if self._is_crashing():
             await self.flush()
             await self._crash()
             return
@@ -412,20 +420,20 @@
             try:
                 await self.flush()
             except StreamClosedError:
-                # The caller was faster.
+                # The caller closed the connection before the event was sent.
                 return
         self.finish()
 
-    def _crashes_server(self) -> bool:
+    def _is_crashing(self) -> bool:
         return self.request.body in self.server.crashing_bodies
 
     async def _crash(self) -> None:
-        await asyncio.sleep(CRASH_S)
+        await asyncio.sleep(CRASH_DELAY_S)
         self.server.crash(self.request.body)
         while not self._is_closed:
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
 
     async def _wait_for_event(self) -> None:
-        await asyncio.sleep(EVENT_S)
+        await asyncio.sleep(EVENT_INTERVAL_S)
         while self.server.fault is ServerFault.SILENT and not self._is_closed:
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
--- a/chervilrock/standin/site/site.py
+++ b/chervilrock/standin/site/site.py
@@ -1,4 +1,4 @@
-"""A whole installation on loopback: store, servers, configuration."""
+"""An installation on loopback: store, servers and configuration."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -18,11 +18,11 @@
 
 
 def make_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a document of the operator.
+    """Return a configuration as the operator writes it.
 
     Args:
-      version: its number.
-      **changes: fields that replace those of the document.
+      version: revision of the configuration.
+      **changes: top-level fields that replace the default ones.
     """
     stream = {
         "host": HOST,
@@ -97,23 +97,24 @@
     Attributes:
       store: the store.
       servers: all servers that were started.
+      store_address: IP:port of the store, empty before `start`.
       crashing_bodies: bodies of requests that crash the servers.
     """
 
     def __init__(self) -> None:
-        """Make an installation that does not listen yet."""
+        """Create an installation that does not listen yet."""
         self.store = SiteStore()
         self.servers: list[SiteServer] = []
         self.crashing_bodies: set[bytes] = set()
-        self._doors: list[httpserver.HTTPServer] = []
+        self._store_listeners: list[httpserver.HTTPServer] = []
         self.store_address = ""
 
     def start(self, *, model_servers: int = 8, plain_servers: int = 2) -> None:
-        """Listen, configure and start the servers.
+        """Start the store, write the configuration and start the servers.
 
         Args:
-          model_servers: hosts for groups, four to a domain.
-          plain_servers: servers of the plain service.
+          model_servers: number of hosts for groups; four form a fabric domain.
+          plain_servers: number of servers of the plain service.
         """
         self.store_address = self.open_door(self.store.door)
         self.store.write_configuration(make_configuration())
@@ -129,15 +130,15 @@
             )
 
     def open_door(self, door: StoreDoor) -> str:
-        """Listen at one more address of the store and return its IP:port."""
+        """Listen on another address of the store and return its IP:port."""
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         server = httpserver.HTTPServer(self.store.make_application(door))
         server.add_sockets(sockets)
-        self._doors.append(server)
+        self._store_listeners.append(server)
         return f"127.0.0.1:{sockets[0].getsockname()[1]}"
 
     def add_model_server(self, domain: str) -> SiteServer:
-        """Start a host for groups."""
+        """Start a host for groups in a fabric domain."""
         return self.add_server(
             SiteServer(
                 store=self.store,
@@ -154,22 +155,24 @@
         return server
 
     def write_again(self) -> None:
-        """Let the operator and the servers write what a copy may lack.
+        """Write the entries that may be missing after a restore from a backup.
 
-        Entries in it of servers that are gone lapse.
+        The operator writes its configuration and each server its entry.
+        Entries of servers that no longer exist are removed, as if they had
+        expired.
         """
         self.store.write_configuration(self.store.configuration)
         living = {server.server for server in self.servers}
         topic = self.store.topic("keyed.servers")
         for record in topic.list_newest():
             if record.key not in living:
-                # Nobody renews it, so that it lapses.
+                # No server renews this entry, so it expires.
                 topic.append(record.key, b"")
         for server in self.servers:
             server.register()
 
     def list_crashes(self, body: bytes) -> list[Crash]:
-        """Return the ends of servers under requests with a body."""
+        """Return the server crashes caused by requests with a body."""
         return [
             crash
             for server in self.servers
@@ -178,7 +181,7 @@
         ]
 
     def list_heads(self, model: str) -> list[SiteServer]:
-        """Return the heads of the groups of a model that are open."""
+        """Return the heads of the open groups of a model."""
         return [
             server
             for server in self.servers
@@ -188,12 +191,12 @@
         ]
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop all servers and close all addresses of the store."""
         for server in self.servers:
             await server.stop()
-        for door in self._doors:
-            door.stop()
-            await door.close_all_connections()
+        for listener in self._store_listeners:
+            listener.stop()
+            await listener.close_all_connections()
 
 
 def make_node_file(
@@ -209,14 +212,14 @@
     Args:
       node: name of the node.
       store_address: IP:port of the store.
-      ip: IP number of the node, one of loopback.
-      ports: ports by name; 0, any free one, for those that are missing.
-      data_centre: where it stands.
+      ip: loopback IP address of the node.
+      ports: ports by name; a missing one is 0, which selects a free port.
+      data_centre: data centre of the node.
     """
-    given = ports or {}
+    ports_by_name = ports or {}
 
-    def place(name: str) -> str:
-        return f"{ip}:{given.get(name, 0)}"
+    def make_address(name: str) -> str:
+        return f"{ip}:{ports_by_name.get(name, 0)}"
 
     return {
         "node_name": node,
@@ -224,12 +227,15 @@
         "ip": ip,
         "zone": data_centre,
         "region": "r",
-        "internal_ports": [given.get("peers", 0), given.get("peers", 0)],
+        "internal_ports": [
+            ports_by_name.get("peers", 0),
+            ports_by_name.get("peers", 0),
+        ],
         "zones": {data_centre: "r"},
         "listen": {
-            "front": place("callers"),
-            "ready": place("ready"),
-            "directory": place("directory"),
+            "front": make_address("callers"),
+            "ready": make_address("ready"),
+            "directory": make_address("directory"),
         },
         "bounds": {
             "retry_budget_ratio": 0.2,
--- a/chervilrock/standin/site/store.py
+++ b/chervilrock/standin/site/store.py
@@ -1,4 +1,4 @@
-"""The store: keyed topics with offsets, conditional appends and long reads."""
+"""The store: keyed topics with offsets, conditional appends and long polls."""
 
 import asyncio
 import base64
@@ -16,14 +16,14 @@
 
 
 class StoreFault(enum.Enum):
-    """How the store misbehaves.
+    """Faults of the store.
 
     Attributes:
-      NONE: it does not.
-      DOWN: it answers nothing, also to the reads that it holds, and to none
-        of these calls after it is back.
-      BUSY: it turns every call away.
-      LOSSY: appends take effect and are not answered.
+      NONE: the store works normally.
+      DOWN: the store answers no call. Long polls that wait at that time and
+        calls that arrive meanwhile stay unanswered after it has recovered.
+      BUSY: the store rejects every call.
+      LOSSY: appends take effect but are not answered.
     """
 
     NONE = "none"
@@ -32,19 +32,19 @@
     LOSSY = "lossy"
 
 
-class _Stored(NamedTuple):
+class _Record(NamedTuple):
     offset: int
     key: str
     value: bytes
 
 
 class Topic:
-    """One partition of keyed records."""
+    """A topic of keyed records with a single partition."""
 
     def __init__(self) -> None:
-        """Start empty, at offset 0."""
-        self._times: list[float] = []
-        self.records: list[_Stored] = []
+        """Create an empty topic that starts at offset 0."""
+        self._append_times_s: list[float] = []
+        self.records: list[_Record] = []
         self.first = 0
         self.changed = asyncio.Event()
 
@@ -56,71 +56,72 @@
     def append(self, key: str, value: bytes) -> int:
         """Add a record and return its offset."""
         offset = self.end
-        self.records.append(_Stored(offset, key, value))
-        self._times.append(time.monotonic())
+        self.records.append(_Record(offset, key, value))
+        self._append_times_s.append(time.monotonic())
         self.changed.set()
         self.changed = asyncio.Event()
         return offset
 
-    def list_newest(self) -> list[_Stored]:
-        """Return the newest record of each key that has a value."""
+    def list_newest(self) -> list[_Record]:
+        """Return the newest record of each key, without deleted keys."""
         newest = {record.key: record for record in self.records}
         return [record for record in newest.values() if record.value]
 
-    def forget(self) -> None:
-        """Drop the history; the newest record of each key stays readable."""
-        kept = self.list_newest()
+    def compact(self) -> None:
+        """Drop all records but the newest of each key, which stay readable."""
+        compacted = self.list_newest()
         self.first = self.end
         self.records = []
-        self._times = []
-        self.kept = kept
+        self._append_times_s = []
+        self.compacted = compacted
 
-    def restore(self, limit: float) -> None:
-        """Drop the records that were appended after a time."""
-        kept = sum(one <= limit for one in self._times)
-        del self._times[kept:]
-        del self.records[kept:]
+    def restore(self, cutoff_s: float) -> None:
+        """Drop the records appended after a time of the monotonic clock."""
+        count = sum(append_s <= cutoff_s for append_s in self._append_times_s)
+        del self._append_times_s[count:]
+        del self.records[count:]
 
-    kept: list[_Stored] = []
+    compacted: list[_Record] = []
 
 
 class StoreDoor:
-    """An address of the store, for some of the nodes.
+    """An address of the store with faults of its own.
 
     Attributes:
-      calls: calls that came.
-      silences: how often it has stopped to answer.
+      calls: number of calls received.
+      outages: number of times that the fault was set to `DOWN`.
     """
 
     def __init__(self) -> None:
-        """Answer all calls."""
+        """Create an address without a fault."""
         self._fault = StoreFault.NONE
         self.calls = 0
-        self.silences = 0
+        self.outages = 0
 
     @property
     def fault(self) -> StoreFault:
-        """How the store misbehaves at this address."""
+        """The fault of the store at this address."""
         return self._fault
 
     @fault.setter
     def fault(self, fault: StoreFault) -> None:
         self._fault = fault
-        self.silences += fault is StoreFault.DOWN
+        self.outages += fault is StoreFault.DOWN
 
 
 class SiteStore:
-    """Topics by name, and how calls are answered.
+    """Topics by name, and the HTTP interface to them.
 
     Attributes:
-      door: the address that nodes use unless they are given another one.
-      overtaken: appends that came too late for their condition.
-      era: how often it came back from a copy.
-      configuration: what the operator wrote last.
+      door: the default address for nodes.
+      overtaken: number of conditional appends rejected because the topic had
+        a different end offset.
+      era: number of restores from a backup.
+      configuration: the configuration that the operator wrote last.
     """
 
     def __init__(self) -> None:
-        """Start with no topics."""
+        """Create a store without topics."""
         self.topics: dict[str, Topic] = {}
         self.door = StoreDoor()
         self.overtaken = 0
@@ -128,14 +129,14 @@
         self.configuration: dict[str, object] = {}
 
     def restore(self, age_s: float) -> None:
-        """Come back from a copy of an age; offsets are given out again."""
-        limit = time.monotonic() - age_s
+        """Restore a backup of an age; lost offsets are assigned again."""
+        cutoff_s = time.monotonic() - age_s
         self.era += 1
         for topic in self.topics.values():
-            topic.restore(limit)
+            topic.restore(cutoff_s)
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, which is made when it is first used."""
+        """Return a topic; create it if it does not exist."""
         return self.topics.setdefault(name, Topic())
 
     def write_configuration(self, document: dict[str, object]) -> None:
@@ -145,7 +146,7 @@
         self.topic("keyed.op").append("config", value)
 
     def make_application(self, door: StoreDoor) -> web.Application:
-        """Return the HTTP interface at an address."""
+        """Return the web application for an address."""
         options = {"store": self, "door": door}
         return web.Application(
             [
@@ -158,25 +159,25 @@
 
 
 class _Handler(web.RequestHandler):
-    """What all calls share."""
+    """Base class of the request handlers."""
 
     def initialize(self, store: SiteStore, door: StoreDoor) -> None:
-        """Serve a store at an address."""
+        """Set the store and the address that this handler serves."""
         self.store = store
         self.door = door
 
     async def prepare(self) -> None:
-        """Apply the fault of the store."""
+        """Count the call and apply the fault of the address."""
         self.set_header("Store-Era", str(self.store.era))
         self.door.calls += 1
         if self.door.fault is StoreFault.BUSY:
             self.set_status(503)
             self.finish()
         elif self.door.fault is StoreFault.DOWN:
-            await self._hang()
+            await self._leave_unanswered()
 
-    async def _hang(self) -> None:
-        """Answer nothing until the caller gives up."""
+    async def _leave_unanswered(self) -> None:
+        """Leave the call unanswered until the caller closes the connection."""
         while not self.request.connection.stream.closed():  # type: ignore[union-attr]
             await asyncio.sleep(0.02)
         raise web.Finish
@@ -200,19 +201,19 @@
         for key, value in parse_records(self.request.body):
             topic.append(key, value)
         if self.door.fault is StoreFault.LOSSY:
-            await self._hang()
+            await self._leave_unanswered()
         self.finish({"offset": offset, "end": topic.end})
 
 
 class _ReadHandler(_Handler):
     async def get(self) -> None:
-        """Answer with records, or wait for one."""
+        """Answer with records; long poll if there are none yet."""
         topic = self.find_topic()
         start = int(self.get_query_argument("from"))
         wait_s = float(self.get_query_argument("wait_ms", "0")) / _MS_PER_S
-        if self._is_gone(topic, start):
+        if self._reject_out_of_range(topic, start):
             return
-        silences = self.door.silences
+        outages = self.door.outages
         if start >= topic.end and wait_s:
             changed = topic.changed
             try:
@@ -220,20 +221,20 @@
                     await changed.wait()
             except TimeoutError:
                 pass
-        if self.door.silences > silences:
-            await self._hang()
+        if self.door.outages > outages:
+            await self._leave_unanswered()
         self.set_header("Store-Era", str(self.store.era))
-        if self._is_gone(topic, start):
+        if self._reject_out_of_range(topic, start):
             return
         chunks = [_OFFSETS.pack(topic.end, topic.first)]
         for record in topic.records[max(0, start - topic.first) :]:
-            name = record.key.encode()
-            content = bytes((len(name),)) + name + record.value
+            key = record.key.encode()
+            content = bytes((len(key),)) + key + record.value
             chunks.append(_LENGTH.pack(len(content)) + content)
         self.finish(b"".join(chunks))
 
-    def _is_gone(self, topic: Topic, start: int) -> bool:
-        """Answer a read from an offset that the store does not have."""
+    def _reject_out_of_range(self, topic: Topic, start: int) -> bool:
+        """Reject a read from an offset out of range; return whether it was."""
         if topic.first <= start <= topic.end:
             return False
         self.set_status(410)
@@ -245,7 +246,7 @@
     def get(self) -> None:
         """Answer with the newest record of each key."""
         topic = self.find_topic()
-        newest = {record.key: record for record in topic.kept}
+        newest = {record.key: record for record in topic.compacted}
         newest |= {record.key: record for record in topic.records}
         items = [
             {
@@ -260,7 +261,7 @@
 
 
 def parse_records(body: bytes) -> list[tuple[str, bytes]]:
-    """Split the body of an append into keys and values."""
+    """Parse the body of an append into pairs of key and value."""
     records = []
     position = 0
     while position < len(body):
@@ -268,6 +269,8 @@
         position += _LENGTH.size
         content = body[position : position + length]
         position += length
-        size = content[0]
-        records.append((content[1 : 1 + size].decode(), content[1 + size :]))
+        key_size = content[0]
+        records.append(
+            (content[1 : 1 + key_size].decode(), content[1 + key_size :])
+        )
     return records
