--- a/chervilrock/decisions/serving/activenodes.py
+++ b/chervilrock/decisions/serving/activenodes.py
@@ -3,7 +3,7 @@
 Load pattern: a large installation has many more nodes than its traffic needs,
 so that any of them may be lost. A node knows its own requests at once and those
 of the others some tenths of a second later. With two requests a second at each
-of 195 nodes its own requests tell it almost nothing about the load of the
+of 195 nodes its own requests say almost nothing about the load of the
 groups, and many nodes choose the same group on the same outdated loads. Callers
 therefore get as many nodes as the traffic needs, with headroom, and the others
 stand by.
@@ -28,7 +28,7 @@
 
 PEAK_WINDOW_S = 5.0
 """Time for which a peak of requests counts. Callers close connections to nodes
-that they no longer get, so that the list must not shrink at once."""
+that they no longer get, so the list must not shrink at once."""
 
 
 class ActiveNodes:
@@ -69,7 +69,8 @@
         running = self._find_peak(running, now)
         if leader is None:
             return candidates
-        # Relays are the first by name among the strongest nodes.
+        # The relay is the first by name of the strongest nodes, so it comes
+        # after the other nodes with as many cores.
         candidates.sort(key=lambda node: node.node, reverse=True)
         candidates.sort(key=lambda node: (node.node == leader, -node.cores))
         data_centres = len({node.data_centre for node in all_nodes})
--- a/chervilrock/decisions/serving/controller.py
+++ b/chervilrock/decisions/serving/controller.py
@@ -94,7 +94,7 @@
         Args:
           requests: requests by head.
           limited: heads that limit the requests sent to them.
-          now: present time.
+          now: current time.
         """
         if self._registry.configuration is None:
             return
--- a/chervilrock/decisions/serving/demand.py
+++ b/chervilrock/decisions/serving/demand.py
@@ -74,7 +74,7 @@
         Args:
           requests: number of running requests by model.
           capacities: number of requests that the open groups can run by model.
-          now: present time.
+          now: current time.
         """
         if self._started_at is None:
             if not any(requests.values()):
@@ -140,7 +140,7 @@
           engine: models that are served, and the slots of a group.
           groups: number of groups of each model that serve or are being formed.
           hosts: number of hosts that may be in groups.
-          now: present time.
+          now: current time.
         """
         if not self.is_known(now):
             return _split_by_share(engine, hosts)
--- a/chervilrock/decisions/serving/dispatch.py
+++ b/chervilrock/decisions/serving/dispatch.py
@@ -44,7 +44,7 @@
         Args:
           server: the server, None for an unknown one.
           interval_s: least time between two queries, in seconds.
-          now: present time.
+          now: current time.
         """
         if server is None or server.server in self._querying:
             return []
--- a/chervilrock/decisions/serving/entries.py
+++ b/chervilrock/decisions/serving/entries.py
@@ -11,7 +11,7 @@
 from chervilrock.decisions.serving.site import BackendServer
 
 MAX_ENTRIES = 16_384
-"""Entries that are kept, including those of servers that are gone."""
+"""Entries that are kept, including those that the store has removed."""
 
 
 class NewestEntries:
@@ -48,11 +48,11 @@
         return entry
 
     def record_gone(self, server: str) -> None:
-        """Record that a server is gone; its last entry is kept."""
+        """Record that an entry was removed; its newest version is kept."""
         self._present.discard(server)
 
     def list_present(self) -> Iterable[BackendServer]:
-        """Return the newest entries of the servers that are not gone."""
+        """Return the newest entries of the servers that were not removed."""
         return [self._entries[server] for server in sorted(self._present)]
 
 
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -94,8 +94,8 @@
 
         A server that restarts under its identifier has no state, so its record
         is reset. Otherwise its earlier report would count as newer than the
-        first entry of the new incarnation, and the server as a member of a
-        group that it no longer knows.
+        first entry of the new incarnation, and the server as a member of its
+        former group.
         """
         known = self._born.get(server, 0)
         if not known:
--- a/chervilrock/decisions/serving/limitregistry.py
+++ b/chervilrock/decisions/serving/limitregistry.py
@@ -50,7 +50,7 @@
           present: servers that accept requests; others are forgotten after
             some time.
           nodes: names of the nodes that accept callers.
-          now: present time.
+          now: current time.
         """
         for absent in self._observations.forget(
             list(self._rates), present, now
--- a/chervilrock/decisions/serving/plan.py
+++ b/chervilrock/decisions/serving/plan.py
@@ -2,7 +2,7 @@
 
 Load pattern: two hosts are lost every three seconds, and occasionally a whole
 domain; lost hosts return with only the weights on their disk, and new hosts
-return with none. The most expensive state is a model with too few groups. A
+join with none. The most expensive state is a model with too few groups. A
 group stays within a domain, since it runs several times slower across domains,
 and the larger the groups of a model are, the sooner the model lacks hosts: with
 twelve half-empty small groups, only one of six large groups remained and
--- a/chervilrock/decisions/serving/planning.py
+++ b/chervilrock/decisions/serving/planning.py
@@ -180,7 +180,7 @@
           limited: heads that limit their requests.
           engine: engine profile of the service.
           service: name of the service.
-          now: present time.
+          now: current time.
         """
         self._requests = requests
         running: Counter[str] = Counter()
--- a/chervilrock/decisions/serving/polling.py
+++ b/chervilrock/decisions/serving/polling.py
@@ -102,10 +102,10 @@
     pause_s=0.25, retry_s=EAGER_RETRY_S, long_poll_s=0.5
 )
 """How the leader reads the entries of the servers. They write some forty
-records a second, and each call is paid for. A server that is leaving must be
-known well within the two seconds after which it may get no requests. The answer
-also informs all nodes of a recovery of the store: a call without an answer ends
-after 1.5 s, and later ones after 1 s, 0.25 s apart."""
+records a second, and each call is paid for. The leader must know that a
+server is leaving well within the two seconds after which it may get no
+requests. The answer also informs all nodes of a recovery of the store: a call
+without an answer ends after 1.5 s, and later ones after 1 s, 0.25 s apart."""
 
 
 class Reader(NamedTuple):
--- a/chervilrock/decisions/serving/retrybudget.py
+++ b/chervilrock/decisions/serving/retrybudget.py
@@ -72,7 +72,7 @@
         Args:
           nodes: maximum number of nodes that share the allowance; None if the
             node does not know the present one, so that nothing is added.
-          now: present time.
+          now: current time.
         """
         last, self._refilled_at = self._refilled_at, now
         self._nodes = nodes
--- a/chervilrock/decisions/serving/serverlimits.py
+++ b/chervilrock/decisions/serving/serverlimits.py
@@ -1,4 +1,4 @@
-"""Limits that servers name: requests a second from all nodes together.
+"""Limits that servers state: requests a second from all nodes together.
 
 Load pattern: an overloaded server still accepts whatever arrives, and nodes
 that each obey its limit by themselves send it as many times the limit as there
@@ -42,8 +42,8 @@
     """How an answer changes what is known of its server's limit.
 
     Attributes:
-      NAMED: the server names its first limit, or another one.
-      ENDED: it names none any more.
+      NAMED: the server states its first limit, or another one.
+      ENDED: it states none any more.
       UNREADABLE: its value is not a valid number, which changes nothing.
     """
 
@@ -98,7 +98,7 @@
         Args:
           known: servers of which anything is known.
           present: servers that accept requests.
-          now: present time.
+          now: current time.
         """
         self._seen.update(dict.fromkeys(present, now))
         absent = [
@@ -173,10 +173,10 @@
 
 
 class ServerLimits:
-    """Limits of servers, as one node knows and obeys them."""
+    """Limits of servers that one node has received and applies."""
 
     def __init__(self, *, own: str) -> None:
-        """Create limits for a node that knows of none.
+        """Create limits for a node that has received none.
 
         Args:
           own: name of this node.
@@ -216,8 +216,8 @@
           server: the server.
           limit: what the answer states.
           nodes: names of the nodes that accept callers, of which some may send
-            until the leader announces which; only read when a limit is named.
-          now: present time.
+            until the leader announces which; only read when a limit is stated.
+          now: current time.
 
         Returns:
           What has changed, None for nothing.
@@ -288,7 +288,7 @@
 
         Args:
           present: servers that accept requests.
-          now: present time.
+          now: current time.
         """
         known = {*self._observed, *self._announced, *self._unreadable}
         for server in self._observations.forget(known, present, now):
@@ -304,7 +304,7 @@
         return observed if observed.time > announced.time else announced
 
     def _update_bucket(self, server: str, now: float) -> None:
-        """Obey the newest limit of a server from now on."""
+        """Apply the newest limit of a server from now on."""
         rate = self.find_rate(server)
         if rate is None:
             self._buckets.pop(server, None)
--- a/chervilrock/decisions/serving/shares.py
+++ b/chervilrock/decisions/serving/shares.py
@@ -56,7 +56,7 @@
           totals: requests by head.
           own: those of this node that are in the totals.
           senders: nodes whose requests are in the totals, 0 when it is unknown.
-          now: present time.
+          now: current time.
         """
         self._totals = totals
         self._own = dict(own)
@@ -71,7 +71,7 @@
         Args:
           server: head of the group.
           slots: requests that the group runs at once.
-          now: present time.
+          now: current time.
         """
         if not self._senders or now - self._recorded_at > MAX_TOTALS_AGE_S:
             return NO_LIMIT
--- a/chervilrock/decisions/serving/staging.py
+++ b/chervilrock/decisions/serving/staging.py
@@ -105,7 +105,7 @@
           hosts: hosts that have a model in memory and load none.
           engine: models that are served.
           sort_keys: sort key of each model; smaller numbers come first.
-          now: present time.
+          now: current time.
         """
         orders = []
         for host in hosts:
@@ -130,7 +130,7 @@
           server: identifier of the server.
           model: model to stage.
           load_s: usual duration of the load, in seconds.
-          now: present time.
+          now: current time.
         """
         until = now + LOAD_TIME_MARGIN * load_s + RETRY_S
         self._in_progress[server] = _Staging(model, until, True)
--- a/chervilrock/decisions/serving/storehealth.py
+++ b/chervilrock/decisions/serving/storehealth.py
@@ -28,7 +28,7 @@
     Attributes:
       term: term of the leader.
       recoveries: how often the store has recovered from an outage that the
-        leader saw, in this term or shortly before.
+        leader observed, in this term or shortly before.
     """
 
     term: int
--- a/chervilrock/decisions/serving/suspects.py
+++ b/chervilrock/decisions/serving/suspects.py
@@ -29,7 +29,7 @@
 
 SETTLE_S = 0.05
 """Time to wait for the reports of other nodes on the same crash: they take some
-milliseconds, and without them a bystander may look like the cause."""
+milliseconds, and without them a bystander may seem to be the cause."""
 
 RIVAL_SETTLE_S = 0.25
 """The same while a likelier request had all of these crashes but one: the
@@ -137,7 +137,7 @@
         Args:
           content: the request.
           crash: the crash.
-          now: present time.
+          now: current time.
           settle_s: time after which the crash counts.
         """
         record = self._records.get(content)
@@ -172,12 +172,12 @@
     def evaluate(self, now: float) -> tuple[Suspect, ...]:
         """Return the requests with several crashes, and which are withheld.
 
-        The one with most crashes is withheld first, of equals the one whose
-        servers outlived the start of its answer for the shortest time. A crash
-        that it explains does not count against the bystanders there, unless a
-        bystander's answer began later than its own. Everything is evaluated
-        anew each time, so that a bystander is released as soon as the cause is
-        known.
+        The one with most crashes is withheld first; of equals, the one whose
+        servers crashed soonest after they had begun to answer it, if at all. A
+        crash that it explains does not count against the bystanders there,
+        unless a bystander's answer began later than its own. Everything is
+        evaluated anew each time, so that a bystander is released as soon as the
+        cause is known.
         """
         self._expire(now)
         suspects = {
@@ -269,8 +269,8 @@
 def _get_sort_key(record: _Record) -> tuple[int, float, float]:
     """Return a key that sorts records by how likely they are the cause.
 
-    Of those that no server had begun to answer, the one that was there longest
-    is the likeliest to have started running.
+    Of those that no server had begun to answer, the one that was on its servers
+    longest is the likeliest to have started running.
     """
     return (-len(record.crashes), *_score(record, record.crashes))
 
--- a/chervilrock/decisions/serving/terms.py
+++ b/chervilrock/decisions/serving/terms.py
@@ -1,8 +1,9 @@
 """Terms of leaders, which order them and the epochs of their groups.
 
 A term is made from the offset of a claim in the store. A store that was
-restored from a backup assigns offsets again, so that its era precedes the
-offset: a claim of a later era is newer than all claims of earlier ones.
+restored from a backup assigns offsets again, so a term consists of the era of
+the store followed by the offset: a claim of a later era is newer than all
+claims of earlier ones.
 """
 
 OFFSETS_PER_ERA = 10_000_000
--- a/chervilrock/decisions/serving/tokenbuckets.py
+++ b/chervilrock/decisions/serving/tokenbuckets.py
@@ -15,7 +15,7 @@
 BALANCE_FRACTION = 0.75
 """Fraction of a share that may be saved up and used at once; the rest is
 refilled evenly over the window. So the number of processes may grow by a third
-without the knowledge of the others, and all stay within the bound."""
+before the others are informed, and all stay within the bound."""
 
 
 class Share(NamedTuple):
--- a/chervilrock/decisions/serving/verification.py
+++ b/chervilrock/decisions/serving/verification.py
@@ -52,7 +52,7 @@
         Args:
           group: the group.
           reason: why it is verified, for the log.
-          now: present time.
+          now: current time.
           failures: unanswered status queries after which a member is lost.
         """
         if group.verifying_since is not None or now < group.verified_until:
@@ -78,7 +78,7 @@
           group: the group.
           server: the member.
           report: its state, None when it did not answer.
-          now: present time.
+          now: current time.
         """
         if report is None:
             queried_at = self._registry.dispatcher.find_query_time(server, now)
--- a/chervilrock/decisions/serving/view.py
+++ b/chervilrock/decisions/serving/view.py
@@ -32,7 +32,7 @@
 
     @property
     def name(self) -> str:
-        """Name under which it is verified and logged."""
+        """Name under which it is avoided and logged."""
         return self.group
 
 
@@ -55,7 +55,7 @@
 
     @property
     def name(self) -> str:
-        """Name under which it is verified and logged."""
+        """Name under which it is avoided and logged."""
         return self.server
 
 
@@ -139,7 +139,7 @@
       is_relay: whether the node forwards this to the nodes of its data
         centre and answers for them.
       store_recoveries: how often the store has recovered from an outage that
-        the leader saw, in this term or shortly before.
+        the leader observed, in this term or shortly before.
       loads_lag: which answer of the receiving node is counted in `loads`,
         counted back from its last one, which is 1.
       suspects_sequence: number of the newest list of suspects in this term.
--- a/chervilrock/edges/serving/connection.py
+++ b/chervilrock/edges/serving/connection.py
@@ -10,8 +10,8 @@
 
 MAX_UNSENT_BYTES = 1024 * 1024
 """Bytes of an answer that are buffered for a caller that does not read.
-Answers have some ten kilobytes, so a caller that leaves a megabyte unread is
-taken to be gone."""
+Answers have some ten kilobytes, so a caller that leaves a megabyte unread
+counts as disconnected."""
 
 
 class CallerConnection:
@@ -29,8 +29,8 @@
 
         Args:
           connection: Tornado connection on which the request was received.
-          is_stopping: whether the node is stopping, so that the caller is told
-            to close the connection after the answer.
+          is_stopping: whether the node is stopping, so that the answer asks
+            the caller to close the connection.
         """
         self._connection = connection
         self._is_stopping = is_stopping
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -269,8 +269,8 @@
         """Reject a withheld request.
 
         The answer says that the request was not run, which is true and can be
-        revised later. A 4xx status would blame the request for good, which a
-        crash does not prove.
+        revised later. A 4xx status would blame the request permanently, which
+        a crash does not justify.
         """
         self._context.metrics.count_withheld()
         exchangelog.log_withheld(self.request_id, suspect)
--- a/chervilrock/edges/serving/exchangelog.py
+++ b/chervilrock/edges/serving/exchangelog.py
@@ -31,7 +31,7 @@
       first_event: time at which the first event was sent to the caller, None
         for none.
       state: state of the node.
-      now: present time.
+      now: current time.
     """
 
     request: CallerRequest
--- a/chervilrock/edges/serving/receiver.py
+++ b/chervilrock/edges/serving/receiver.py
@@ -17,14 +17,14 @@
 class AnswerReceiver(Receiver):
     """Receives the answer of a server to one send.
 
-    Events of a stream of this very request are relayed as they arrive; all
+    Events of a stream of this very request are forwarded as they arrive; all
     other bodies are buffered until they are complete.
 
     Attributes:
       splitter: splits the stream into events.
       facts: fields read from the head, None before it was received.
       body: the body if it is buffered.
-      is_relayed: whether events are relayed as they arrive.
+      is_relayed: whether events are forwarded as they arrive.
       is_too_long: whether the body is longer than MAX_BODY_BYTES.
     """
 
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -41,7 +41,8 @@
 from chervilrock.tasks.serving.waitqueue import WaitQueue
 
 MAX_REQUESTS = 1024
-"""Concurrent requests to backend servers, far above the slots of all groups."""
+"""Greatest number of concurrent requests to backend servers, far above the
+slots of all groups."""
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
--- a/chervilrock/platform/operator.py
+++ b/chervilrock/platform/operator.py
@@ -102,7 +102,7 @@
 
 
 def decode_configuration(document: bytes) -> Result[SiteConfiguration, str]:
-    """Returns the configuration, or a description of the first error."""
+    """Return the configuration, or a description of the first error."""
     try:
         decoded = _DECODER.decode(document)
         routes = tuple(_make_route(route) for route in decoded.routes)
@@ -123,7 +123,7 @@
 
 
 def _make_route(route: _Route) -> Route:
-    """Translates a route.
+    """Translate a route.
 
     Raises:
       ValueError: the route names no service, or its kind is unknown.
@@ -158,7 +158,7 @@
 
 
 def _make_service(service: _Service) -> Service:
-    """Translates a service."""
+    """Translate a service."""
     engine = service.engine
     if engine is None:
         return Service(name=service.name, engine=None)
@@ -193,7 +193,7 @@
 
 
 def _make_keys(tenants: list[_Tenant] | None) -> dict[str, Workspace] | None:
-    """Returns workspaces by API key; None if the document has no tenants."""
+    """Return workspaces by API key; None if the document has no tenants."""
     if tenants is None:
         return None
     keys: dict[str, Workspace] = {}
--- a/chervilrock/platform/servers.py
+++ b/chervilrock/platform/servers.py
@@ -48,7 +48,7 @@
 
 
 def decode_server(server: str, entry: bytes) -> Result[BackendServer, str]:
-    """Returns a backend server, or a description of the error in its entry.
+    """Return a backend server, or a description of the error in its entry.
 
     Other programs write to the topic as well, so an entry that is not valid
     in full is rejected.
@@ -82,7 +82,7 @@
 
 
 def _find_problem(entry: _Entry) -> str:
-    """Returns a description of the first invalid field, empty if none is."""
+    """Return a description of the first invalid field, empty if none is."""
     if entry.state not in _SERVER_STATES:
         return f"unknown server state {entry.state!r}"
     group = entry.group
@@ -98,7 +98,7 @@
 
 
 def decode_membership(group: GroupField | None) -> Membership | None:
-    """Returns the membership, None without a group name or a known state."""
+    """Return the membership, None without a group name or a known state."""
     if group is None or not group.name:
         return None
     state = _MEMBER_STATES.get(group.state)
--- a/chervilrock/platform/settings.py
+++ b/chervilrock/platform/settings.py
@@ -126,7 +126,7 @@
 def read_settings(
     path: str, *, metrics_port: int = 0
 ) -> Result[NodeSettings, tuple[SettingFinding, ...]]:
-    """Returns the settings in a file, or a finding for each invalid field.
+    """Return the settings in a file, or a finding for each invalid field.
 
     Args:
       path: path of the file.
@@ -143,7 +143,7 @@
 def decode_settings(
     values: Mapping[str, Any], *, metrics_port: int = 0
 ) -> Result[NodeSettings, tuple[SettingFinding, ...]]:
-    """Returns the settings, or a finding for each invalid field."""
+    """Return the settings, or a finding for each invalid field."""
     fields = _Fields(values=values)
     settings = NodeSettings(
         node=fields.text("node_name"),
--- a/chervilrock/tasks/serving/follower.py
+++ b/chervilrock/tasks/serving/follower.py
@@ -138,7 +138,7 @@
         return self._task is None
 
     def renew(self) -> None:
-        """Cancel the pending call and repeat it at once.
+        """Cancel the pending call and start a new one at once.
 
         The new call does not long poll: a store that was restored from a
         backup may delay a read at an offset which it has not reached yet, and
--- a/chervilrock/tasks/serving/leading.py
+++ b/chervilrock/tasks/serving/leading.py
@@ -122,7 +122,7 @@
 
     @property
     def has_followers(self) -> bool:
-        """Whether there are other nodes that take callers."""
+        """Whether there are other nodes that accept callers."""
         return bool(self._summary.nodes)
 
     def describe(self) -> list[dict[str, Any]]:
@@ -283,7 +283,7 @@
             self._controller.record_stall(group, now)
 
     def _update_node_list(self, summary: Summary) -> None:
-        """Update the list of the nodes that take callers if it has changed."""
+        """Update the list of the nodes that accept callers if it changed."""
         state = self._state
         live = set(summary.nodes)
         if not state.is_stopping:
--- a/chervilrock/tasks/serving/limitreports.py
+++ b/chervilrock/tasks/serving/limitreports.py
@@ -35,7 +35,7 @@
         """Report the limits that the leader has not announced, if due.
 
         Args:
-          now: present time.
+          now: current time.
           leading: role of this node as the leader, None if it does not lead.
           leader: entry of the leader, None if it is not known.
         """
--- a/chervilrock/tasks/serving/node.py
+++ b/chervilrock/tasks/serving/node.py
@@ -167,7 +167,7 @@
 
     @property
     def has_followers(self) -> bool:
-        """Whether this node leads other nodes that take callers."""
+        """Whether this node leads other nodes that accept callers."""
         return self._leader_role is not None and self._leader_role.has_followers
 
     @property
--- a/chervilrock/tasks/serving/outbound.py
+++ b/chervilrock/tasks/serving/outbound.py
@@ -172,7 +172,7 @@
         self._start(self._check_server(server, address))
 
     def send_crash_report(self, entry: NodeEntry, report: CrashReport) -> None:
-        """Report to a node during which requests servers crashed."""
+        """Report crashed servers and the requests that they ran to a node."""
         self._start(self._send_crash_report(entry, report))
 
     def write_suspect(self, content: str, suspect: Suspect | None) -> None:
--- a/chervilrock/tasks/serving/peers.py
+++ b/chervilrock/tasks/serving/peers.py
@@ -55,7 +55,7 @@
 
         Args:
           interval_s: time between two announcements.
-          now: present time.
+          now: current time.
         """
         return now - self.answered_at <= LIVE_INTERVALS * interval_s
 
@@ -73,7 +73,7 @@
           update: the update with its intervals.
           has_update: whether the node lacks a part of the update, so that the
             announcement is more than a heartbeat.
-          now: present time.
+          now: current time.
         """
         if self.is_answer_pending or now - self.answered_at > DROP_AFTER_S:
             return False
@@ -130,7 +130,8 @@
 
 
 Send = Callable[[NodeEntry, bytes], Awaitable[None]]
-"""Starts to send an encoded announcement; its result ends with the call."""
+"""Starts to send an encoded announcement; the result completes when the call
+does."""
 
 
 class Peers:
@@ -199,7 +200,7 @@
 
         Args:
           update: the update to send.
-          now: present time.
+          now: current time.
           is_last: whether this is the final announcement, which also goes to
             nodes with a pending answer.
 
--- a/chervilrock/tasks/serving/poisondetector.py
+++ b/chervilrock/tasks/serving/poisondetector.py
@@ -3,7 +3,7 @@
 When the connection of a send breaks, the node checks the server: only a server
 that accepts no connections any more counts as crashed. The leader evaluates the
 crashes that all nodes report and sends the suspects with its announcements.
-Each node also evaluates the crashes that it knows of itself, so that a poison
+Each node also evaluates the crashes that are known to it, so that a poison
 request is withheld even while there is no leader.
 """
 
@@ -35,7 +35,7 @@
 
 FOLLOWER_SETTLE_S = 0.25
 """Time for which a node waits for the leader's verdict before it decides by
-the crashes that it knows of itself."""
+the crashes that are known to it."""
 
 MAX_VERDICT_WAIT_S = 0.35
 """Longest time that a request waits for a verdict. With a reachable leader a
@@ -76,7 +76,7 @@
 
 
 class PoisonDetector:
-    """Finds poison requests by the server crashes that one node knows of."""
+    """Finds poison requests by the server crashes known to one node."""
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
         """Create a detector without suspects.
@@ -209,7 +209,7 @@
         Args:
           version: term and number of the list.
           suspects: the list.
-          now: present time.
+          now: current time.
         """
         table = self._state.suspects
         listed = {suspect.content for suspect in suspects}
@@ -251,7 +251,7 @@
         Args:
           content: identifier of the content of the request.
           value: the record, empty if it was deleted.
-          now: present time.
+          now: current time.
 
         Raises:
           msgspec.DecodeError: the record cannot be decoded.
@@ -287,7 +287,7 @@
         """Send reports, evaluate suspects and write to the store as due.
 
         Args:
-          now: present time.
+          now: current time.
           term: term in which this node leads, None when it does not.
           leader: the leader, None without contact to one.
           reaches_store: whether the store answers.
--- a/chervilrock/tasks/serving/reads.py
+++ b/chervilrock/tasks/serving/reads.py
@@ -40,7 +40,7 @@
         Args:
           outbound: makes calls.
           describe_reader: returns the current properties of the node.
-          now: present time.
+          now: current time.
         """
         self.store = StoreMonitor(now=now)
         self._outbound = outbound
--- a/chervilrock/tasks/serving/relay.py
+++ b/chervilrock/tasks/serving/relay.py
@@ -42,7 +42,7 @@
         """
         if not announcement.is_relay:
             return None
-        # After a pause, outdated answers would make nodes look lost.
+        # After a pause, outdated answers would make nodes appear lost.
         if announcement.term != self._term or not self.is_active(now):
             self._peers = Peers(send=self._outbound.announce)
         self._term = announcement.term
--- a/chervilrock/tasks/serving/state.py
+++ b/chervilrock/tasks/serving/state.py
@@ -173,7 +173,7 @@
 
         Args:
           is_in_touch: whether the list of nodes is known to be current.
-          now: present time.
+          now: current time.
         """
         if self.routes is None:
             return
@@ -207,7 +207,7 @@
           model: requested model.
           avoided: servers that must not get the request.
           bound: how full a group may be.
-          now: present time.
+          now: current time.
         """
         engine = self.find_engine(service)
         slots = 1 if engine is None else engine.slots
@@ -352,7 +352,7 @@
           total: the requests.
           own: requests of this node that `total` includes.
           senders: number of nodes whose requests `total` includes.
-          now: present time.
+          now: current time.
         """
         self._shares.record_totals(total, own, senders, now)
         self._other_loads = {
@@ -385,14 +385,14 @@
     ) -> Iterable[str]:
         """Return the addresses that callers should use.
 
-        The result is empty on a node that has no configuration and knows no
-        other node, such as one that the store rejects after all nodes were
+        The result is empty on a node that has no configuration and no record of
+        another node, such as one that the store rejects after all nodes were
         lost. Callers then turn to another node instead of being rejected here.
 
         Args:
           data_centre: data centre of the caller.
           leader: name of the leader, None without contact to it.
-          now: present time.
+          now: current time.
         """
         nodes = self.nodes or tuple(self.known_nodes.values())
         if self.is_stopping:
@@ -409,11 +409,11 @@
         return sorted({node.callers_address for node in chosen})
 
     def list_active_nodes(self, leader: str, now: float) -> list[str]:
-        """Return the names of the nodes that are reported to callers.
+        """Return the names of the nodes that are announced to callers.
 
         Args:
           leader: name of the leader.
-          now: present time.
+          now: current time.
         """
         active = {
             active_node.node
