--- a/chervilrock/decisions/serving/activenodes.py
+++ b/chervilrock/decisions/serving/activenodes.py
@@ -79,13 +79,13 @@
 
     def _find_peak(self, running: int, now: float) -> int:
         """Return the peak number of requests of the last seconds."""
-        seen = self._recent_counts
-        while seen and seen[0][0] < now - PEAK_WINDOW_S:
-            seen.popleft()
-        while seen and seen[-1][1] <= running:
-            seen.pop()
-        seen.append((now, running))
-        return seen[0][1]
+        counts = self._recent_counts
+        while counts and counts[0][0] < now - PEAK_WINDOW_S:
+            counts.popleft()
+        while counts and counts[-1][1] <= running:
+            counts.pop()
+        counts.append((now, running))
+        return counts[0][1]
 
 
 def _count_needed_nodes(
--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -278,12 +278,12 @@
                 # Its status is queried again before it may be used.
                 del self._slow_until[name]
                 self._reporting.discard(name)
-            is_out = (
+            is_unusable = (
                 server.is_leaving
                 or self._unresponsive.get(name, now) > now
                 or self.is_slow(name, now)
             )
-            if server.service == service and not is_out:
+            if server.service == service and not is_unusable:
                 domains.setdefault(server.domain, []).append(server)
         return domains
 
--- a/chervilrock/decisions/serving/lateness.py
+++ b/chervilrock/decisions/serving/lateness.py
@@ -2,7 +2,7 @@
 
 Load pattern: after an outage of all nodes for two seconds, about two hundred
 callers retry at once, while new callers arrive as before. The retries can no
-longer be on time, the new requests can. A retrying caller names only the rest
+longer be on time, the new requests can. A retrying caller states only the rest
 of its time limit, from which the time that it has waited already follows.
 Counted from their arrival at a node, all requests appeared new and filled the
 groups: only 51 of the 170 requests of the first two seconds were on time.
@@ -59,7 +59,7 @@
 
 FIRST_ARRIVAL_FRACTION = 0.85
 """Least time limit of a first attempt as a fraction of the usual limit. Limits
-differ between callers: of 299 callers of a route all but two named 0.9 of the
+differ between callers: of 299 callers of a route all but two stated 0.9 of the
 median or more, and those two may have been retries. With the most frequent
 limit instead of the median, two of five first attempts were classified as
 late."""
@@ -86,12 +86,12 @@
     ) -> float:
         """Return how long a caller waited before this attempt, in seconds.
 
-        A retrying caller names the rest of its limit. Short waits are within
+        A retrying caller states the rest of its limit. Short waits are within
         the variation of the limits and count as none.
 
         Args:
           route: name of the route.
-          limit_s: time limit that the caller names now.
+          limit_s: time limit that the caller states now.
           longest_s: longest time for a request of the route.
         """
         limits = self._limits.get(route, ())
--- a/chervilrock/decisions/serving/serverlimits.py
+++ b/chervilrock/decisions/serving/serverlimits.py
@@ -4,7 +4,7 @@
 that each obey its limit by themselves send it as many times the limit as there
 are nodes. So a few nodes send to such a server, each an equal share of the
 limit, and the others send it nothing. The leader announces the limit and these
-senders to all nodes; a node that sees the limit before that, or has no leader,
+senders to all nodes; a node that gets the limit before that, or has no leader,
 chooses the same senders by itself.
 """
 
--- a/chervilrock/decisions/serving/suspects.py
+++ b/chervilrock/decisions/serving/suspects.py
@@ -16,8 +16,8 @@
 
 MIN_ANNOUNCED_CRASHES = 2
 """Crashes from which on all nodes have a request in their list, so that the
-node that sees the third crash withholds it, and a normal completion anywhere
-clears it."""
+node that observes the third crash withholds it, and a normal completion
+anywhere clears it."""
 
 FORGET_S = 600.0
 """Time after its last crash for which a request that is not withheld counts as
@@ -51,7 +51,7 @@
 
     Attributes:
       server: identifier of this incarnation of the server.
-      node: node that saw it.
+      node: node that observed it.
       since_first_byte_s: seconds since the first byte of the answer, 0 without
         one.
       since_sent_s: seconds since the request was sent there.
@@ -83,7 +83,7 @@
 
     @property
     def nodes(self) -> str:
-        """The nodes that saw the crashes, for a log line."""
+        """The nodes that observed the crashes, for a log line."""
         return ",".join(sorted({crash.node for crash in self.crashes}))
 
 
@@ -91,7 +91,7 @@
     """What one node reports to another about requests and crashed servers.
 
     Attributes:
-      crashes: requests and the crashes that the node saw.
+      crashes: requests and the crashes that the node observed.
       cleared: requests that have completed normally since.
     """
 
@@ -311,12 +311,12 @@
             for suspect in reversed(both)
             if suspect.is_withheld
         }
-        begun = tuple(
+        newly_withheld = tuple(
             suspect
             for content, suspect in self._withheld.items()
             if content not in former
         )
-        return begun, tuple(
+        return newly_withheld, tuple(
             content for content in former if content not in self._withheld
         )
 
--- a/chervilrock/edges/serving/exchange.py
+++ b/chervilrock/edges/serving/exchange.py
@@ -346,11 +346,11 @@
         loop = asyncio.get_running_loop()
         self._transfer = transfer
         self._interrupted = loop.create_future()
-        watch = None
+        detector = None
         if isinstance(endpoint, GroupEndpoint):
-            watch = self._state.watch(endpoint.group)
-        if watch is not None:
-            watch.record_sent(self.request_id, now)
+            detector = self._state.watch(endpoint.group)
+        if detector is not None:
+            detector.record_sent(self.request_id, now)
         running = loop.create_task(self._borrow_and_run(transfer))
         _RUNNING.add(running)
         running.add_done_callback(_RUNNING.discard)
@@ -362,8 +362,8 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            if watch is not None:
-                watch.record_end(self.request_id)
+            if detector is not None:
+                detector.record_end(self.request_id)
             self._transfer = None
             interrupted, self._interrupted = self._interrupted, None
         if running.done():
--- a/chervilrock/node/entry.py
+++ b/chervilrock/node/entry.py
@@ -157,12 +157,14 @@
             self.settings.address_ttl_s + ADDRESS_EXPIRY_MARGIN_S
         )
         self._parts.requests.reject_new()
-        cut = await self._drain()
+        aborted = await self._drain()
         self._set_phase(NodePhase.STOPPED)
         await self._parts.peers.announce()
         await self.kill()
-        events.emit(events.Event.NODE_STOPPED, node=self.name, in_flight=cut)
-        return cut
+        events.emit(
+            events.Event.NODE_STOPPED, node=self.name, in_flight=aborted
+        )
+        return aborted
 
     async def _drain(self) -> int:
         """Wait for the requests in progress; return the number left."""
--- a/chervilrock/tasks/serving/crashreports.py
+++ b/chervilrock/tasks/serving/crashreports.py
@@ -1,8 +1,8 @@
 """Reports to other nodes of servers that crashed while they ran a request.
 
 The leader gets a report of each crash at once; a new leader gets all crashes
-that this node has seen. If the leader does not answer, or does not withhold a
-request that this node would withhold, the crashes are broadcast to all nodes,
+that this node has observed. If the leader does not answer, or does not withhold
+a request that this node would withhold, the crashes are broadcast to all nodes,
 so that each of them can evaluate them itself.
 """
 
@@ -28,7 +28,7 @@
 
 
 class CrashReports:
-    """The crashes that this node saw, and which nodes it reported them to."""
+    """Crashes that this node observed, and which nodes it reported them to."""
 
     def __init__(self, *, state: ServingState, outbound: Outbound) -> None:
         """Create a reporter without crashes.
--- a/chervilrock/tasks/serving/poisondetector.py
+++ b/chervilrock/tasks/serving/poisondetector.py
@@ -111,7 +111,7 @@
     ) -> None:
         """Wait until a suspect request is withheld, for a limited time.
 
-        Without the wait, the node that sees the third server crash would send
+        Without the wait, the node that observes the third crash would send
         the request to a fourth one before the leader has evaluated the crash.
 
         Args:
@@ -194,8 +194,8 @@
         for content in report.cleared:
             self._clear(content)
         if not self._is_leading:
-            # No leader combines the crashes that different nodes saw, so each
-            # node has to get those that this one saw.
+            # No leader combines the crashes that different nodes observed,
+            # so each node has to get those that this one observed.
             self._reports.broadcast(content for content, _ in report.crashes)
 
     def record_announced(
