--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -94,8 +94,8 @@
 
         A server that restarts under its identifier has no state, so its record
         is reset. Otherwise its earlier report would count as newer than the
-        first entry of the new incarnation, and the server as a member of a
-        group that it no longer knows.
+        first entry of the new incarnation, and the server as a member of its
+        former group.
         """
         known = self._born.get(server, 0)
         if not known:
@@ -278,12 +278,12 @@
                 # Its status is queried again before it may be used.
                 del self._slow_until[name]
                 self._reporting.discard(name)
-            is_out = (
+            is_unusable = (
                 server.is_leaving
                 or self._unresponsive.get(name, now) > now
                 or self.is_slow(name, now)
             )
-            if server.service == service and not is_out:
+            if server.service == service and not is_unusable:
                 domains.setdefault(server.domain, []).append(server)
         return domains
 
