--- a/chervilrock/ui/demo.py
+++ b/chervilrock/ui/demo.py
@@ -33,10 +33,10 @@
 SEED = 7
 CALLERS = 24
 OPERATIONS = 1500
-PROGRESS_S = 1.0
-KILL_HOST_AT = 0.25
-KILL_NODE_AT = 0.5
-RETURN_HOST_AT = 0.75
+PROGRESS_INTERVAL_S = 1.0
+KILL_HOST_AT_SHARE = 0.25
+KILL_NODE_AT_SHARE = 0.5
+RETURN_HOST_AT_SHARE = 0.75
 
 
 def run_demo() -> ExitCode:
@@ -49,21 +49,21 @@
         return ExitCode.FINDINGS
     print_result("summary")
     print_result(render(summary))
-    for promise in summary.broken:
-        print_error(f"broken promise: {promise}")
+    for guarantee in summary.broken:
+        print_error(f"broken promise: {guarantee}")
     return ExitCode.FINDINGS if summary.broken else ExitCode.DONE
 
 
 async def run_demonstration(operations: int) -> Summary:
-    """Run a demonstration of a number of operations."""
+    """Run a demonstration with a given number of operations."""
     return await Demonstration(operations=operations).run()
 
 
 class Demonstration:
-    """One run: start, apply, load with failures, summary."""
+    """One run: start, apply, load with injected failures, summary."""
 
     def __init__(self, *, operations: int, seed: int = SEED) -> None:
-        """Make a run of a number of operations, in the running loop."""
+        """Create a run; needs a running event loop."""
         self._http = HttpClient()
         self._caller_http = HttpClient()
         self._generator = random.Random(seed)
@@ -72,10 +72,10 @@
             self._site.example.configuration, operations, self._generator
         )
         self._results: list[Result] = []
-        self._begin = time.monotonic()
+        self._started_s = time.monotonic()
 
     async def run(self) -> Summary:
-        """Run to the end; everything is stopped afterwards."""
+        """Run all phases and always stop the installation afterwards."""
         try:
             await self._start()
             before = self._read_costs()
@@ -93,23 +93,23 @@
         calls = self._site.installation.count_calls()
         return summarize(self._results, calls, costs)
 
-    def _say(self, text: str) -> None:
-        print_result(f"{time.monotonic() - self._begin:6.1f} s  {text}")
+    def _print_timed(self, text: str) -> None:
+        print_result(f"{time.monotonic() - self._started_s:6.1f} s  {text}")
 
     async def _start(self) -> None:
         site = self._site
         await site.start()
         hosts = len(site.installation.engines)
-        self._say(
+        self._print_timed(
             f"{len(site.nodes)} entry nodes, {hosts} hosts, "
             f"{len(site.installation.services)} application servers"
         )
         revision = await site.apply()
-        self._say(f"configuration accepted as revision {revision}")
+        self._print_timed(f"configuration accepted as revision {revision}")
         await site.wait_in_force(revision)
-        self._say("configuration in force at every node")
+        self._print_timed("configuration in force at every node")
         await site.wait_whole()
-        self._say(f"all {site.count_wanted()} groups serve")
+        self._print_timed(f"all {site.count_wanted()} groups serve")
 
     async def _run_load(self) -> None:
         queue = iter(self._operations)
@@ -142,36 +142,38 @@
         for operation in queue:
             self._results.append(await caller.run(operation))
 
-    async def _wait_share(self, share: float) -> None:
-        """Wait until a share of the operations has ended."""
+    async def _wait_completed_share(self, share: float) -> None:
+        """Wait until a share of the operations, 0 to 1, has completed."""
         while len(self._results) < share * len(self._operations):
             await asyncio.sleep(0.02)
 
     async def _cause_failures(self) -> None:
         installation = self._site.installation
-        await self._wait_share(KILL_HOST_AT)
+        await self._wait_completed_share(KILL_HOST_AT_SHARE)
         status = await self._site.read_status()
         group = status["groups"][0]
         host = group["hosts"][-1]
         installation.kill_host(host)
-        self._say(f"host {host} of group {group['group']} dies")
-        await self._wait_share(KILL_NODE_AT)
+        self._print_timed(f"host {host} of group {group['group']} dies")
+        await self._wait_completed_share(KILL_NODE_AT_SHARE)
         await self._kill_controller()
-        await self._wait_share(RETURN_HOST_AT)
+        await self._wait_completed_share(RETURN_HOST_AT_SHARE)
         await installation.return_host(host)
-        self._say(f"host {host} comes back empty")
+        self._print_timed(f"host {host} comes back empty")
 
     async def _kill_controller(self) -> None:
         status = await self._site.read_status()
         for node in self._site.nodes:
             if node.name == status["controller"]:
                 await node.kill()
-                self._say(f"entry node {node.name}, the controller, dies")
+                self._print_timed(
+                    f"entry node {node.name}, the controller, dies"
+                )
                 return
         raise DemonstrationError("there is no controller")
 
     def _find_live(self) -> int:
-        """Return the number of a node that still runs."""
+        """Return the index of a node that is still running."""
         for number, node in enumerate(self._site.nodes):
             if node.running:
                 return number
@@ -182,13 +184,13 @@
 
     async def _show_progress(self) -> None:
         while True:
-            await asyncio.sleep(PROGRESS_S)
+            await asyncio.sleep(PROGRESS_INTERVAL_S)
             self._show_counts()
 
     def _show_counts(self) -> None:
         counts = Counter(result.ending for result in self._results)
         others = len(self._results) - counts[Ending.WHOLE]
-        self._say(
+        self._print_timed(
             f"{len(self._results)} of {len(self._operations)} requests ended, "
             f"{counts[Ending.WHOLE]} whole, {others} otherwise"
         )
--- a/chervilrock/ui/demonstration/caller.py
+++ b/chervilrock/ui/demonstration/caller.py
@@ -1,4 +1,4 @@
-"""A caller as docs/callers.md asks callers to behave."""
+"""A caller that follows the documented rules for callers."""
 
 import asyncio
 import json
@@ -23,62 +23,62 @@
 )
 
 DEADLINE_S = 20.0
-TRY_TIMEOUT_S = 10.0
-SHORTEST_WAIT_S = 0.05
-LONGEST_WAIT_S = 1.0
+ATTEMPT_TIMEOUT_S = 10.0
+MIN_WAIT_S = 0.05
+MAX_WAIT_S = 1.0
 STATUS_OK = 200
 
 
-class Try(NamedTuple):
-    """How one request of an operation ended.
+class Attempt(NamedTuple):
+    """Outcome of one request of an operation.
 
     Attributes:
-      ending: what the caller knows after it
-      wait_s: time to wait before the next one, in seconds
+      ending: how the request ended as far as the caller knows
+      wait_s: time to wait before the next request, in seconds
     """
 
     ending: Ending
-    wait_s: float = SHORTEST_WAIT_S
+    wait_s: float = MIN_WAIT_S
 
 
 class AddressBook:
-    """The addresses of the system, cached for their time to live."""
+    """Cache of the entry node addresses that honours their time to live."""
 
     def __init__(
         self, *, seeds: tuple[str, ...], data_centre: str, http: HttpClient
     ) -> None:
-        """Start with the addresses that the caller was given once."""
+        """Create a cache that holds only the configured seed addresses."""
         self._seeds = seeds
         self._data_centre = data_centre
         self._http = http
-        self._known: tuple[str, ...] = seeds
-        self._until = 0.0
+        self._addresses: tuple[str, ...] = seeds
+        self._expires_at_s = 0.0
 
     async def list(self) -> tuple[str, ...]:
-        """Return the addresses to use, asking anew when they are old."""
-        if time.monotonic() < self._until:
-            return self._known
-        for address in (*self._known, *self._seeds):
-            answer = await self._ask(address)
+        """Return the addresses to use, refreshed if they have expired."""
+        if time.monotonic() < self._expires_at_s:
+            return self._addresses
+        for address in (*self._addresses, *self._seeds):
+            answer = await self._query(address)
             if answer is not None and answer["addresses"]:
                 entries = answer["addresses"]
-                self._known = tuple(entry["address"] for entry in entries)
-                self._until = time.monotonic() + answer["ttl_s"]
+                self._addresses = tuple(entry["address"] for entry in entries)
+                self._expires_at_s = time.monotonic() + answer["ttl_s"]
                 break
-        return self._known
+        return self._addresses
 
     def drop(self, address: str) -> None:
-        """Use an address no more until the next answer."""
-        self._known = tuple(a for a in self._known if a != address)
-        if not self._known:
-            self._known = self._seeds
-            self._until = 0.0
-
-    async def _ask(self, address: str) -> AddressAnswer | None:
-        place = quote(self._data_centre)
+        """Remove an address until the next refresh."""
+        self._addresses = tuple(a for a in self._addresses if a != address)
+        if not self._addresses:
+            self._addresses = self._seeds
+            self._expires_at_s = 0.0
+
+    async def _query(self, address: str) -> AddressAnswer | None:
+        encoded_data_centre = quote(self._data_centre)
         result = await self._http.request(
             "GET",
-            f"http://{address}/v1/addresses?data_centre={place}",
+            f"http://{address}/v1/addresses?data_centre={encoded_data_centre}",
             timeout_s=1.0,
         )
         if isinstance(result, Failure):
@@ -90,48 +90,48 @@
 
 
 class Caller:
-    """Sends operations and repeats them where that is allowed."""
+    """Sends operations and retries them where that is allowed."""
 
     def __init__(
         self, *, book: AddressBook, http: HttpClient, generator: random.Random
     ) -> None:
-        """Make a caller with its own address book."""
+        """Create a caller with its own address book."""
         self._book = book
         self._http = http
         self._generator = generator
 
     async def run(self, operation: Operation) -> Result:
-        """Run an operation to its end."""
-        begin = time.monotonic()
-        last = Try(Ending.LOST)
+        """Send an operation until it has a final outcome or times out."""
+        started_s = time.monotonic()
+        last = Attempt(Ending.LOST)
         ticket = ""
         tries = 0
-        while time.monotonic() < begin + DEADLINE_S:
-            address = await self._choose()
+        while time.monotonic() < started_s + DEADLINE_S:
+            address = await self._choose_address()
             if not operation.idempotent and not ticket:
                 ticket = await self._get_ticket(address)
                 if not ticket:
-                    await asyncio.sleep(SHORTEST_WAIT_S)
+                    await asyncio.sleep(MIN_WAIT_S)
                     continue
             tries += 1
-            last = await self._try(operation, address, ticket)
+            last = await self._send(operation, address, ticket)
             if self._is_final(operation, last.ending, tries):
                 break
             await asyncio.sleep(last.wait_s)
-        seconds = time.monotonic() - begin
+        seconds = time.monotonic() - started_s
         return Result(operation, last.ending, seconds, tries)
 
     def _is_final(
         self, operation: Operation, ending: Ending, tries: int
     ) -> bool:
-        """Return whether nothing more can be learnt by another try."""
+        """Return whether no further attempt should be made."""
         if ending in (Ending.WHOLE, Ending.FOREIGN):
             return True
         if operation.idempotent or ending is Ending.NOT_RUN:
             return False
         return ending is Ending.FAILED or tries > 3
 
-    async def _choose(self) -> str:
+    async def _choose_address(self) -> str:
         addresses = await self._book.list()
         return self._generator.choice(addresses)
 
@@ -147,9 +147,9 @@
             return ""
         return msgspec.json.decode(answer.body, type=Ticket)["ticket"]
 
-    async def _try(
+    async def _send(
         self, operation: Operation, address: str, ticket: str
-    ) -> Try:
+    ) -> Attempt:
         headers = {"X-Workspace": operation.workspace}
         if ticket:
             headers["Idempotency-Key"] = ticket
@@ -159,35 +159,35 @@
         result = await self._http.request(
             operation.method,
             f"http://{address}{operation.path}",
-            timeout_s=TRY_TIMEOUT_S,
+            timeout_s=ATTEMPT_TIMEOUT_S,
             body=body,
             headers=headers,
         )
         if isinstance(result, Failure):
             self._book.drop(address)
             refused = result.failure().kind is PlatformErrorKind.REFUSED
-            return Try(Ending.NOT_RUN if refused else Ending.UNKNOWN)
-        return judge(operation, result.unwrap())
+            return Attempt(Ending.NOT_RUN if refused else Ending.UNKNOWN)
+        return interpret_answer(operation, result.unwrap())
 
 
-def judge(operation: Operation, answer: HttpAnswer) -> Try:
-    """Return what an answer means for its caller."""
+def interpret_answer(operation: Operation, answer: HttpAnswer) -> Attempt:
+    """Return the outcome of a request from its answer."""
     if answer.status != STATUS_OK:
         return _read_error(json.loads(answer.body))
     if operation.kind is OperationKind.STREAM:
         text = read_stream(answer.body)
         if text is None:
-            return Try(Ending.UNKNOWN)
+            return Attempt(Ending.UNKNOWN)
     elif operation.kind is OperationKind.COMPLETION:
         text = read_completion(answer.body)
     else:
         uri = json.loads(answer.body)["uri"]
-        own = operation.path.endswith(uri)
-        return Try(Ending.WHOLE if own else Ending.FOREIGN)
-    return Try(Ending.WHOLE if text == operation.answer else Ending.FOREIGN)
+        is_own = operation.path.endswith(uri)
+        return Attempt(Ending.WHOLE if is_own else Ending.FOREIGN)
+    return Attempt(Ending.WHOLE if text == operation.answer else Ending.FOREIGN)
 
 
-def _read_error(body: Any) -> Try:
+def _read_error(body: Any) -> Attempt:
     detail = body["error"]
     wait_s = detail["retry_after_ms"] / 1000
     endings = {
@@ -195,7 +195,7 @@
         Outcome.UNKNOWN: Ending.UNKNOWN,
         Outcome.FAILED: Ending.FAILED,
     }
-    return Try(
+    return Attempt(
         endings[Outcome(detail["outcome"])],
-        min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, wait_s)),
+        min(MAX_WAIT_S, max(MIN_WAIT_S, wait_s)),
     )
--- a/chervilrock/ui/demonstration/operations.py
+++ b/chervilrock/ui/demonstration/operations.py
@@ -1,4 +1,4 @@
-"""The requests of the demonstration and how each of them ended."""
+"""The operations of the demonstration and their outcomes."""
 
 import enum
 import json
@@ -10,7 +10,7 @@
 
 
 class OperationKind(enum.StrEnum):
-    """What a caller asks for."""
+    """Kind of request that a caller sends."""
 
     STREAM = "stream"
     COMPLETION = "completion"
@@ -19,7 +19,7 @@
 
 
 class Ending(enum.StrEnum):
-    """How an operation ended for its caller."""
+    """Outcome of an operation as its caller sees it."""
 
     WHOLE = "answered whole"
     NOT_RUN = "not run"
@@ -30,13 +30,13 @@
 
 
 class Operation(NamedTuple):
-    """One request of a caller, which may take several tries.
+    """One operation of a caller, which may take several requests.
 
     Attributes:
-      number: identity of the operation
-      path: path of the request
-      body: JSON body, None for none
-      answer: text that a whole answer holds, empty for plain services
+      number: unique number of the operation
+      path: path of the request URL
+      body: JSON body, None for a request without one
+      answer: expected text of a complete answer, empty for plain services
     """
 
     number: int
@@ -54,10 +54,10 @@
 
 
 class Result(NamedTuple):
-    """How an operation ended.
+    """Outcome and cost of one operation.
 
     Attributes:
-      seconds: time from the first try to the end
+      seconds: time from the start of the operation to its outcome
       tries: number of requests that the caller sent
     """
 
@@ -67,21 +67,21 @@
     tries: int
 
 
-SHARES = (
+KIND_WEIGHTS = (
     (OperationKind.STREAM, 5),
     (OperationKind.COMPLETION, 2),
     (OperationKind.LOOKUP, 2),
     (OperationKind.BOOKING, 3),
 )
-MAX_TOKENS = (8, 60)
+MAX_TOKENS_RANGE = (8, 60)
 
 
 def make_operations(
     configuration: Configuration, count: int, generator: random.Random
 ) -> tuple[Operation, ...]:
-    """Return a mixed load on the models and services of a configuration."""
-    kinds = [kind for kind, _ in SHARES]
-    weights = [weight for _, weight in SHARES]
+    """Return a mixed workload for the models and services configured."""
+    kinds = [kind for kind, _ in KIND_WEIGHTS]
+    weights = [weight for _, weight in KIND_WEIGHTS]
     chosen = generator.choices(kinds, weights, k=count)
     return tuple(
         _make_operation(configuration, number, kind, generator)
@@ -119,7 +119,7 @@
     generator: random.Random,
 ) -> Operation:
     model = generator.choice(configuration["models"])["name"]
-    tokens = generator.randint(*MAX_TOKENS)
+    tokens = generator.randint(*MAX_TOKENS_RANGE)
     body = {
         "model": model,
         "messages": [
@@ -141,7 +141,7 @@
 
 
 def read_stream(body: bytes) -> str | None:
-    """Return the text of a streamed answer, None when it is not whole."""
+    """Return the text of a streamed answer, None if it is incomplete."""
     pieces: list[str] = []
     for line in body.decode(errors="replace").splitlines():
         if not line.startswith("data: "):
--- a/chervilrock/ui/demonstration/site.py
+++ b/chervilrock/ui/demonstration/site.py
@@ -1,4 +1,4 @@
-"""The installation of the demonstration, all in one process."""
+"""The installation of the demonstration, run in one process."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,16 +28,16 @@
 PREFILL_MS = 15.0
 LEASE_MS = 1500
 ADDRESS_TTL_S = 1.0
-POLL_S = 0.1
-START_LIMIT_S = 30.0
+POLL_INTERVAL_S = 0.1
+WAIT_TIMEOUT_S = 30.0
 
 
 class DemonstrationError(Exception):
-    """The demonstration could not be run as planned."""
+    """The demonstration could not be completed."""
 
 
 class Example(NamedTuple):
-    """The files of an example."""
+    """Decoded files of an example."""
 
     configuration: Configuration
     hosts: HostList
@@ -45,7 +45,7 @@
 
 
 def load_example(name: str = EXAMPLE) -> Example:
-    """Return a checked example of the package."""
+    """Load and check an example that is shipped with the package."""
     folder = resources.files("chervilrock") / "examples"
     hosts = msgspec.json.decode(
         (folder / f"{name}-hosts.json").read_bytes(), type=HostList
@@ -66,16 +66,16 @@
 
 
 class Site:
-    """Stand-ins and entry nodes, one in each data centre.
+    """Stand-ins for the platform, and an entry node in each data centre.
 
     Attributes:
-      example: what is installed
+      example: configuration, hosts and weights of the installation
       installation: the stand-ins
       nodes: the entry nodes
     """
 
     def __init__(self, *, example: Example, http: HttpClient) -> None:
-        """Make a site of which nothing runs yet."""
+        """Create a site without starting it."""
         self.example = example
         self.installation = Installation(
             hosts=example.hosts,
@@ -109,7 +109,7 @@
             self.nodes.append(node)
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Kill the nodes and stop the stand-ins."""
         for node in self.nodes:
             await node.kill()
         await self.installation.stop()
@@ -131,7 +131,7 @@
         return answer["revision"]
 
     async def read_status(self, number: int = 0) -> StatusAnswer:
-        """Return the status as one of the nodes tells it."""
+        """Return the status that one of the nodes reports."""
         address = self.nodes[number].address
         client = OperatorClient(address=address, http=self._http)
         result = await client.get_status()
@@ -141,7 +141,9 @@
 
     def count_wanted(self) -> int:
         """Return the number of groups in the configuration."""
-        return sum(m["groups"] for m in self.example.configuration["models"])
+        return sum(
+            model["groups"] for model in self.example.configuration["models"]
+        )
 
     async def wait_in_force(self, revision: int) -> None:
         """Wait until every node has a revision in force."""
@@ -156,7 +158,7 @@
         await wait_until(is_done, "the configuration is not in force")
 
     async def wait_whole(self, number: int = 0) -> None:
-        """Wait until every wanted group serves."""
+        """Wait until every configured group serves."""
 
         async def is_done() -> bool:
             status = await self.read_status(number)
@@ -166,7 +168,7 @@
 
 
 def count_serving(status: StatusAnswer) -> int:
-    """Return the number of groups that serve and miss no host."""
+    """Return the number of serving groups without missing hosts."""
     return sum(
         1
         for group in status["groups"]
@@ -175,11 +177,15 @@
 
 
 async def wait_until(
-    is_done: Callable[[], Awaitable[bool]], otherwise: str
+    is_done: Callable[[], Awaitable[bool]], failure_message: str
 ) -> None:
-    """Wait until something holds, for `START_LIMIT_S` at most."""
-    limit = time.monotonic() + START_LIMIT_S
+    """Poll a condition for up to `WAIT_TIMEOUT_S`.
+
+    Raises:
+      DemonstrationError: the condition did not become true in time.
+    """
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not await is_done():
-        if time.monotonic() > limit:
-            raise DemonstrationError(otherwise)
-        await asyncio.sleep(POLL_S)
+        if time.monotonic() > deadline:
+            raise DemonstrationError(failure_message)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/chervilrock/ui/demonstration/summary.py
+++ b/chervilrock/ui/demonstration/summary.py
@@ -1,4 +1,4 @@
-"""What the demonstration found, and whether a promise broke."""
+"""Results of the demonstration and the guarantees that were broken."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -11,11 +11,12 @@
 
 
 class Costs(NamedTuple):
-    """What the users measure.
+    """Costs of a run, as the users measure them.
 
     Attributes:
-      downtime_s: seconds in which a wanted group did not serve, over groups
-      stranded_s: seconds of accelerators in no serving group
+      downtime_s: seconds in which a configured group did not serve, summed
+        over all groups
+      stranded_s: accelerator-seconds outside any serving group
     """
 
     downtime_s: float
@@ -27,10 +28,10 @@
 
     Attributes:
       sent: operations of callers
-      endings: how they ended
+      endings: number of operations by outcome
       doubled: non-idempotent operations that ran more than once
-      untrue: operations that were told `not run` although they ran
-      repeated: requests beyond the first of an operation
+      untrue: operations reported as `not run` although they ran
+      repeated: retries, that is requests beyond the first of an operation
       costs: costs after every group had served for the first time
     """
 
@@ -43,7 +44,7 @@
 
     @property
     def broken(self) -> tuple[str, ...]:
-        """The promises that did not hold."""
+        """The guarantees that were broken, as messages."""
         found = []
         if self.endings[Ending.LOST]:
             found.append("an operation was lost")
@@ -59,7 +60,7 @@
 def summarize(
     results: Sequence[Result], calls: Counter[str], costs: Costs
 ) -> Summary:
-    """Count what the callers saw against what the services ran."""
+    """Compare the outcomes that callers saw with what the services ran."""
     doubled = 0
     untrue = 0
     for result in results:
@@ -81,11 +82,11 @@
 
 
 def read_costs(metrics: Sequence[Metrics]) -> Costs:
-    """Return the costs that the controllers have counted so far."""
+    """Return the costs that the controllers have recorded so far."""
     downtime = 0.0
     stranded = 0.0
-    for one in metrics:
-        for family in one.registry.collect():
+    for node_metrics in metrics:
+        for family in node_metrics.registry.collect():
             for sample in family.samples:
                 if sample.name == "chervilrock_group_downtime_seconds_total":
                     downtime += sample.value
