--- a/chervilrock/ui/__init__.py
+++ b/chervilrock/ui/__init__.py
@@ -1,8 +1,8 @@
 """The command line: one module for each command.
 
-`serve` and `node` run for months on small hosts, so they are started without
-the library of the command line, which all other commands use.
-`chervilrock.ui.application` describes the commands.
+`serve` and `node` run for months on small hosts. To save memory they do not
+load typer, the command-line library that all other commands use.
+`chervilrock.ui.application` defines the commands.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,10 +13,10 @@
 NODE = "node"
 
 UNUSED_MODULES = ("bz2", "curses", "lzma")
-"""Modules that libraries only try to import, and that a node never uses.
+"""Optional imports of libraries that a node never uses.
 
-`curses` is for coloured logs of tornado, the others for archives in shutil.
-Without them a serving process takes 0.9 MB less.
+Tornado imports `curses` for coloured logs, and shutil imports the others for
+archives. Blocking them saves 0.9 MB in a serving process.
 """
 
 
@@ -24,8 +24,8 @@
     """Runs a command and returns its exit code.
 
     Args:
-      arguments: those after the name of the program; by default those that
-        this process was started with
+      arguments: arguments after the program name; by default those of this
+        process
     """
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given[:1] == [SERVE]:
@@ -44,6 +44,6 @@
 
 
 def leave_out(names: Iterable[str]) -> None:
-    """Lets the import of some modules fail, unless they are there already."""
+    """Makes imports of modules fail unless they are already loaded."""
     for name in names:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
--- a/chervilrock/ui/application.py
+++ b/chervilrock/ui/application.py
@@ -1,7 +1,7 @@
-"""The commands, their arguments and their help, for typer.
+"""Typer definitions of the commands, their arguments and their help.
 
-Each function only describes a command and imports the module that does its
-work when it runs, so that a command loads no more than it needs.
+Each function only declares a command and imports the implementation when it
+runs, so that a command loads no more modules than it needs.
 """
 
 import asyncio
@@ -65,13 +65,13 @@
     """Runs a command and returns its exit code."""
     try:
         app(args=list(arguments), prog_name=PROGRAM)
-    except SystemExit as end:
-        return int(end.code or 0)
+    except SystemExit as system_exit:
+        return int(system_exit.code or 0)
     return 0
 
 
 def print_version(wanted: bool) -> None:
-    """Prints the version and ends, when it is wanted."""
+    """Prints the version and exits if `--version` is given."""
     if wanted:
         typer.echo(f"{PROGRAM} {chervilrock.__version__}")
         raise typer.Exit
@@ -177,7 +177,7 @@
 
 
 def find_user() -> str:
-    """Returns the name of the user, or `unknown` when there is none."""
+    """Returns the login name, or `unknown` if it cannot be determined."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -191,10 +191,10 @@
 
 
 def add_command(function: Callable[..., None], **settings: Any) -> None:
-    r"""Adds a command with the help in the docstring of its function.
+    r"""Adds a command whose help text is the docstring of its function.
 
-    Docstrings are raw and hold `\b` as two characters, for the one character
-    by which typer knows a paragraph that keeps its lines.
+    The docstrings are raw, so `\b` is two characters in them. It is replaced
+    by the backspace character, which tells typer not to rewrap a paragraph.
     """
     text = inspect.getdoc(function) or ""
     app.command(help=text.replace(r"\b", "\b"), **settings)(function)
--- a/chervilrock/ui/apply.py
+++ b/chervilrock/ui/apply.py
@@ -1,4 +1,4 @@
-"""The command `apply`: puts a configuration in force, and waits for it."""
+"""The command `apply`: applies a configuration and can wait for it."""
 
 import asyncio
 import pathlib
@@ -35,7 +35,7 @@
     """Options of the command.
 
     Attributes:
-      address: IP:port of the node to ask
+      address: IP:port of the node to send the configuration to
       base_revision: revision to replace; None for the one in force
       operator: name to record with the configuration
       wait_s: longest wait in seconds until every live node has the
@@ -51,11 +51,11 @@
 
 
 class Spread(NamedTuple):
-    """How far a configuration has come.
+    """Which nodes do not have a configuration in force yet.
 
     Attributes:
-      lagging: live nodes without it, by name
-      lost: nodes that were not heard of lately, by name
+      lagging: names of the live nodes without it, sorted
+      lost: names of the nodes without recent contact, sorted
     """
 
     lagging: tuple[str, ...]
@@ -63,7 +63,7 @@
 
 
 async def apply_file(file: pathlib.Path, options: ApplyOptions) -> ExitCode:
-    """Applies a file and prints what became of it."""
+    """Applies a file and prints the outcome."""
     try:
         text = read_bytes(file, MAX_BYTES + 1)
     except InputError as error:
@@ -108,7 +108,7 @@
 async def _report_accepted(
     answer: ApplyAnswer, options: ApplyOptions, client: OperatorClient
 ) -> ExitCode:
-    """Tells of success, after the wait when one is wanted."""
+    """Reports that a configuration was accepted, after an optional wait."""
     revision = answer["revision"]
     if not options.as_json:
         print_result(f"revision {revision} accepted")
@@ -131,13 +131,13 @@
     """Waits until every live node has a revision, or a later one, in force.
 
     Args:
-      client: client of the node whose view counts
-      revision: the revision
-      wait_s: longest wait in seconds; the node is asked at least once
-      interval_s: time between two questions in seconds
+      client: client of the node whose status is polled
+      revision: revision to wait for
+      wait_s: longest wait in seconds; the node is polled at least once
+      interval_s: polling interval in seconds
 
     Returns:
-      The last answer, or None when the node never answered.
+      The last state seen, or None if the node never answered.
     """
     deadline = time.monotonic() + wait_s
     spread = None
@@ -153,18 +153,18 @@
 
 
 def measure_spread(status: StatusAnswer, revision: int) -> Spread:
-    """Returns which nodes lack a revision; a later one counts as well."""
-    known = sorted(status["nodes"], key=lambda node: node["node"])
+    """Returns which nodes have neither a revision nor a later one in force."""
+    nodes = sorted(status["nodes"], key=lambda node: node["node"])
     lagging = [
         node["node"]
-        for node in known
+        for node in nodes
         if node["alive"]
         and node["phase"] != NodePhase.STOPPED
         and node["revision"] < revision
     ]
     lost = [
         node["node"]
-        for node in known
+        for node in nodes
         if not node["alive"] and not has_left(node)
     ]
     return Spread(tuple(lagging), tuple(lost))
@@ -173,7 +173,7 @@
 def _report_spread(
     spread: Spread | None, revision: int, options: ApplyOptions
 ) -> ExitCode:
-    """Tells which nodes have a revision in force."""
+    """Reports which nodes lack a revision."""
     if spread is None:
         print_error(
             f"node {options.address} cannot be reached since revision "
@@ -193,7 +193,7 @@
 
 
 def _report_refusal(answer: ApplyAnswer, base: int, as_json: bool) -> ExitCode:
-    """Tells why a configuration was not accepted."""
+    """Reports why a configuration was not accepted."""
     if as_json:
         print_json(answer)
     for finding in answer["findings"]:
@@ -213,7 +213,7 @@
 
 
 def _report_unreachable(error: ClientError) -> ExitCode:
-    """Tells that a node gave no usable answer."""
+    """Reports that a node gave no usable answer."""
     print_error(error.message)
     if error.effect_possible:
         print_error(
--- a/chervilrock/ui/check.py
+++ b/chervilrock/ui/check.py
@@ -1,4 +1,4 @@
-"""The command `check`: finds the faults of a configuration file."""
+"""The command `check`: validates a configuration file."""
 
 from collections.abc import Sequence
 import os
@@ -17,7 +17,7 @@
 
 
 class InputError(Exception):
-    """A file cannot be read; the text tells which and why."""
+    """A file cannot be read; the message names the file and the reason."""
 
 
 def check(
@@ -82,7 +82,7 @@
     """Return the content of a file, up to a limit in bytes.
 
     Raises:
-      InputError: it cannot be read.
+      InputError: the file cannot be read.
     """
     try:
         with file.open("rb") as stream:
@@ -93,10 +93,10 @@
 
 
 def read_json(file: pathlib.Path, kind: type[T]) -> T:
-    """Return the value that a JSON file holds.
+    """Return the decoded value of a JSON file.
 
     Raises:
-      InputError: it cannot be read, or holds no such value.
+      InputError: the file cannot be read or does not match the type.
     """
     import msgspec
 
@@ -107,12 +107,12 @@
 
 
 def render_name(file: pathlib.Path) -> str:
-    """Return the name of a file in characters that can be printed."""
+    """Return a printable file name, with undecodable bytes escaped."""
     return os.fsencode(file).decode("utf-8", "backslashreplace")
 
 
 def print_findings(findings: "Sequence[Finding]", as_json: bool) -> None:
-    """Print findings: one in a line, or all in one JSON list."""
+    """Print findings, one per line or all as one JSON list."""
     if as_json:
         from chervilrock.ui.output import print_json
 
--- a/chervilrock/ui/client.py
+++ b/chervilrock/ui/client.py
@@ -1,4 +1,4 @@
-"""Client of the interface that nodes have for operators."""
+"""Client of the operator interface of a node."""
 
 from typing import NamedTuple, TypeVar
 
@@ -26,7 +26,7 @@
     """Why a node gave no usable answer.
 
     Attributes:
-      message: one line for the operator
+      message: one-line error message for the operator
       effect_possible: whether the request may have changed something
     """
 
@@ -35,14 +35,14 @@
 
 
 class OperatorClient:
-    """Asks one node on behalf of an operator."""
+    """Sends the requests of an operator to one node."""
 
     def __init__(self, *, address: str, http: HttpClient) -> None:
-        """Makes a client.
+        """Creates a client for one node.
 
         Args:
           address: IP:port of the node
-          http: client to send the requests with
+          http: HTTP client that sends the requests
         """
         self._address = address
         self._http = http
@@ -53,14 +53,14 @@
         return answer.bind(lambda body: self._decode(body, StatusAnswer))
 
     async def get_state(self) -> Result[msgspec.Raw, ClientError]:
-        """Returns the state of the process, as the JSON text that it sent."""
+        """Returns the state of the process as undecoded JSON."""
         answer = await self._read("/state")
         return answer.bind(lambda body: self._decode(body, msgspec.Raw))
 
     async def apply(
         self, request: ApplyRequest
     ) -> Result[ApplyAnswer, ClientError]:
-        """Sends a configuration once and returns what became of it."""
+        """Sends a configuration without retries and returns the answer."""
         result = await self._http.request(
             "POST",
             self._format_url("/admin/apply"),
@@ -73,7 +73,7 @@
     def _read_apply(
         self, answer: HttpAnswer
     ) -> Result[ApplyAnswer, ClientError]:
-        """Returns the answer to an apply, or the error that it holds."""
+        """Returns the decoded answer to an apply request, or its error."""
         if answer.status in APPLY_STATUSES:
             decoded = self._decode(answer.body, ApplyAnswer, True)
             if isinstance(decoded, Success):
@@ -81,14 +81,14 @@
         return Failure(self._describe_status(answer, True))
 
     async def _read(self, path: str) -> Result[bytes, ClientError]:
-        """Returns the body of a path."""
+        """Returns the response body of a GET request for a path."""
         result = await self._http.request(
             "GET", self._format_url(path), timeout_s=READ_TIMEOUT_S
         )
         return result.alt(self._describe_failure).bind(self._check_status)
 
     def _check_status(self, answer: HttpAnswer) -> Result[bytes, ClientError]:
-        """Returns the body of an answer with success."""
+        """Returns the body if the status is 200, otherwise an error."""
         if answer.status == STATUS_OK:
             return Success(answer.body)
         return Failure(self._describe_status(answer, False))
@@ -111,17 +111,17 @@
     def _describe_status(
         self, answer: HttpAnswer, effect_possible: bool
     ) -> ClientError:
-        """Returns the error for an answer without success."""
+        """Returns the error for an unsuccessful answer."""
         try:
             body = msgspec.json.decode(answer.body, type=ErrorBody)
         except (msgspec.DecodeError, UnicodeDecodeError):
             text = f"node {self._address} answered status {answer.status}"
             return ClientError(text, effect_possible)
         detail = body["error"]
-        ran = detail["outcome"] is not Outcome.NOT_RUN
+        may_have_run = detail["outcome"] is not Outcome.NOT_RUN
         text = f"node {self._address}: {detail['message']} ({detail['code']})"
-        return ClientError(text, ran and effect_possible)
+        return ClientError(text, may_have_run and effect_possible)
 
     def _format_url(self, path: str) -> str:
-        """Returns the URL of a path of the node."""
+        """Returns the URL of a path on the node."""
         return f"http://{self._address}{path}"
--- a/chervilrock/ui/codes.py
+++ b/chervilrock/ui/codes.py
@@ -1,10 +1,10 @@
-"""Exit codes of the commands; `docs/OPERATIONS.md` lists them."""
+"""Exit codes of the commands, as listed in the operations manual."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """What an exit code tells."""
+    """Exit code of a command."""
 
     DONE = 0
     FINDINGS = 1
--- a/chervilrock/ui/flags.py
+++ b/chervilrock/ui/flags.py
@@ -1,42 +1,41 @@
-"""Reads flags of the form `--name VALUE` or `--name=VALUE`."""
+"""Parses flags of the form `--name VALUE` or `--name=VALUE`."""
 
 from collections.abc import Iterator, Sequence
 
-MARK = "--"
+FLAG_PREFIX = "--"
 
 
 class UsageError(Exception):
-    """The arguments have not the form of flags; the text tells why."""
+    """The arguments cannot be parsed as flags; the message says why."""
 
 
 def parse_flags(arguments: Sequence[str]) -> dict[str, str]:
     """Returns the values of flags by name, with `_` for `-` in the names.
 
-    Whether there are such flags, and whether their values fit, is checked by
-    whoever knows the flags.
+    The caller checks that the flags exist and that their values are valid.
 
     Raises:
-      UsageError: an argument is no flag, or a flag lacks its value or stands
-        twice.
+      UsageError: an argument is not a flag, or a flag has no value or is
+        given twice.
     """
     values: dict[str, str] = {}
-    rest = iter(arguments)
-    for argument in rest:
+    remaining = iter(arguments)
+    for argument in remaining:
         flag, separator, value = argument.partition("=")
-        if not flag.startswith(MARK) or flag == MARK:
+        if not flag.startswith(FLAG_PREFIX) or flag == FLAG_PREFIX:
             raise UsageError(f"unexpected argument {argument!r}")
         if not separator:
-            value = _take_value(flag, rest)
-        name = flag.removeprefix(MARK).replace("-", "_")
+            value = _consume_value(flag, remaining)
+        name = flag.removeprefix(FLAG_PREFIX).replace("-", "_")
         if name in values:
             raise UsageError(f"{flag} stands twice")
         values[name] = value
     return values
 
 
-def _take_value(flag: str, rest: Iterator[str]) -> str:
+def _consume_value(flag: str, remaining: Iterator[str]) -> str:
     """Returns the argument after a flag."""
-    value = next(rest, None)
-    if value is None or value.startswith(MARK):
+    value = next(remaining, None)
+    if value is None or value.startswith(FLAG_PREFIX):
         raise UsageError(f"{flag} needs a value")
     return value
--- a/chervilrock/ui/node.py
+++ b/chervilrock/ui/node.py
@@ -1,6 +1,6 @@
 """The command `node`: serves on the platform of the users.
 
-Its settings come from the file that the platform writes for each process.
+The settings come from a file that the platform writes for each process.
 """
 
 import asyncio
@@ -28,10 +28,10 @@
 
 
 def run_node(arguments: Sequence[str], environment: Mapping[str, str]) -> int:
-    """Serve until told to stop.
+    """Serve until the process is stopped.
 
     Args:
-      arguments: those after `node`.
+      arguments: arguments after `node`.
       environment: all environment variables.
 
     Returns:
@@ -63,7 +63,7 @@
 
 
 def parse_arguments(arguments: Sequence[str]) -> int | None:
-    """Return the port for metrics, 0 for none, None for wrong arguments."""
+    """Return the metrics port, 0 for no port, None for invalid arguments."""
     if not arguments:
         return 0
     is_flag = len(arguments) == 2 and arguments[0] == METRICS_FLAG
--- a/chervilrock/ui/options.py
+++ b/chervilrock/ui/options.py
@@ -1,4 +1,4 @@
-"""What the options of several commands share."""
+"""Options that several commands share."""
 
 from typing import Annotated
 
@@ -12,10 +12,10 @@
 
 
 def check_address(text: str) -> str:
-    """Returns an address when it is one.
+    """Returns a valid address unchanged.
 
     Raises:
-      typer.BadParameter: it is not.
+      typer.BadParameter: the text is not IP:port.
     """
     if parse_address(text) is None:
         raise typer.BadParameter(f"{text!r} is not IP:port")
--- a/chervilrock/ui/platform_files.py
+++ b/chervilrock/ui/platform_files.py
@@ -1,4 +1,4 @@
-"""Files from which a stand-in of the platform takes hosts and weights."""
+"""Loads the hosts and weights of a platform stand-in from files."""
 
 import pathlib
 
@@ -11,14 +11,14 @@
 def load_platform(
     hosts: pathlib.Path | None, weights: pathlib.Path | None
 ) -> PlatformStandIn:
-    """Makes a platform with the hosts and weights of two JSON files.
+    """Creates a platform stand-in from JSON files of hosts and weights.
 
     Raises:
-      InputError: a file does not hold what it should.
+      InputError: a file cannot be read or has the wrong content.
     """
     models = read_json(weights, Catalogue)["models"] if weights else {}
     standin = PlatformStandIn(models=models)
     if hosts is not None:
-        listed = read_json(hosts, HostList)
-        standin.set_hosts(listed["hosts"], listed["services"])
+        host_list = read_json(hosts, HostList)
+        standin.set_hosts(host_list["hosts"], host_list["services"])
     return standin
--- a/chervilrock/ui/runner.py
+++ b/chervilrock/ui/runner.py
@@ -18,19 +18,21 @@
     """Runs a stand-in until SIGTERM or SIGINT.
 
     Args:
-      make: makes the stand-in, which may need a running event loop
+      make: creates the stand-in, which may need a running event loop
       listen: IP:port to listen on
     """
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in STOP_SIGNALS:
+        loop.add_signal_handler(signal_number, stopped.set)
     standin = make()
-    wanted = parse_address(listen)
-    if wanted is None:
+    listen_address = parse_address(listen)
+    if listen_address is None:
         raise ValueError(f"{listen!r} is not IP:port")
     try:
-        address = await standin.start(address=wanted.ip, port=wanted.port)
+        address = await standin.start(
+            address=listen_address.ip, port=listen_address.port
+        )
     except OSError as error:
         print_error(f"cannot listen on {listen}: {error}")
         return ExitCode.UNREACHABLE
--- a/chervilrock/ui/serve.py
+++ b/chervilrock/ui/serve.py
@@ -1,7 +1,7 @@
 """The command `serve`: runs an entry node.
 
-It is parsed here and not by typer, which would stay in the memory of the
-process for as long as it serves.
+Its arguments are parsed without typer, which would stay in memory for as long
+as the process serves.
 """
 
 import asyncio
@@ -22,10 +22,10 @@
 
 
 def serve(arguments: Sequence[str], environment: Mapping[str, str]) -> int:
-    """Runs an entry node until it is told to stop.
+    """Runs an entry node until the process is stopped.
 
     Args:
-      arguments: those after `serve`
+      arguments: arguments after `serve`
       environment: all environment variables
 
     Returns:
@@ -51,7 +51,7 @@
 
 
 def run_node(settings: NodeSettings) -> int:
-    """Runs a node with checked settings and returns its exit code."""
+    """Runs a node with validated settings and returns its exit code."""
     from chervilrock import node
 
     events.configure_logging(settings.log_format, settings.log_level)
@@ -69,7 +69,7 @@
 def choose_format(
     flags: Mapping[str, str], environment: Mapping[str, str]
 ) -> LogFormat:
-    """Returns the format for the findings, though settings may be wrong."""
+    """Returns the log format for findings, even if settings are invalid."""
     variable = environment.get(name_variable("log_format"), "")
     given = flags.get("log_format", variable)
     return LogFormat.JSON if given == LogFormat.JSON else LogFormat.TEXT
--- a/chervilrock/ui/settings_help.py
+++ b/chervilrock/ui/settings_help.py
@@ -1,4 +1,4 @@
-"""The help of `serve`, written from the schema of the settings."""
+"""The help of `serve`, generated from the schema of the settings."""
 
 import importlib.resources
 import textwrap
@@ -11,7 +11,7 @@
 
 WIDTH = 80
 INDENT = " " * 6
-KINDS = {str: "TEXT", int: "INTEGER", float: "NUMBER"}
+TYPE_NAMES = {str: "TEXT", int: "INTEGER", float: "NUMBER"}
 INTRODUCTION = """\
 Usage: chervilrock serve [--NAME VALUE]...
 
@@ -31,7 +31,7 @@
 
 
 def render_help() -> str:
-    """Returns the help of the command."""
+    """Returns the help text of the command."""
     folder = importlib.resources.files("chervilrock") / "schema"
     text = (folder / "settings.yaml").read_text(encoding="utf-8")
     schema = yaml.safe_load(text)["$defs"]["NodeSettings"]["properties"]
@@ -42,10 +42,10 @@
 
 
 def render_setting(name: str, schema: dict[str, Any]) -> str:
-    """Returns the lines for one setting."""
-    kind = KINDS[NodeSettings.__annotations__[name]]
+    """Returns the help lines of one setting."""
+    type_name = TYPE_NAMES[NodeSettings.__annotations__[name]]
     choices = schema.get("enum")
-    value = "|".join(choices) if choices else kind
+    value = "|".join(choices) if choices else type_name
     notes = [name_variable(name)]
     if "minimum" in schema:
         notes.append(f"{schema['minimum']} to {schema['maximum']}")
--- a/chervilrock/ui/standin.py
+++ b/chervilrock/ui/standin.py
@@ -1,4 +1,4 @@
-"""The command `stand-in`: runs a stand-in of the platform or of a server."""
+"""The command `stand-in`: runs a stand-in for the platform or a server."""
 
 import asyncio
 from collections.abc import Callable
@@ -109,7 +109,7 @@
 
 
 def run_standin(make: "Callable[[], StandIn]", listen: str) -> None:
-    """Runs a stand-in until the process is told to stop."""
+    """Runs a stand-in until the process is stopped, then exits."""
     from chervilrock.ui.runner import run_until_stopped
 
     code = asyncio.run(run_until_stopped(make, listen))
--- a/chervilrock/ui/status.py
+++ b/chervilrock/ui/status.py
@@ -1,4 +1,4 @@
-"""The commands `status` and `dump`: what a node knows."""
+"""The commands `status` and `dump`: print the state of a node."""
 
 from collections.abc import Iterable
 
@@ -32,7 +32,7 @@
 
 
 async def show_status(*, address: str, as_json: bool) -> ExitCode:
-    """Prints the status of the installation as one node knows it."""
+    """Prints the status of the installation that one node reports."""
     http = HttpClient(max_clients=1)
     result = await OperatorClient(address=address, http=http).get_status()
     http.close()
@@ -48,7 +48,7 @@
 
 
 async def dump_state(*, address: str) -> ExitCode:
-    """Prints the state of a process."""
+    """Prints the state of a process as JSON."""
     http = HttpClient(max_clients=1)
     result = await OperatorClient(address=address, http=http).get_state()
     http.close()
@@ -60,7 +60,7 @@
 
 
 def render_status(status: StatusAnswer) -> str:
-    """Returns a status as tables; tables without rows are left out."""
+    """Returns a status as tables; optional tables without rows are omitted."""
     parts = [_render_summary(status), _render_nodes(status["nodes"])]
     if status["groups"]:
         parts.append(_render_groups(status["groups"]))
@@ -72,10 +72,10 @@
 
 
 def describe_phase(node: NodeStatus) -> str:
-    """Returns the phase of a node for people; silent nodes are told apart.
+    """Returns the phase of a node for display.
 
-    A node that was leaving when it fell silent has stopped, any other one is
-    lost.
+    An unresponsive node has stopped if it was leaving at the last contact,
+    and is lost otherwise.
     """
     if node["alive"]:
         return node["phase"]
@@ -83,12 +83,12 @@
 
 
 def has_left(node: NodeStatus) -> bool:
-    """Whether a node is silent because it was stopped."""
+    """Returns whether a node is unresponsive because it was stopped."""
     return not node["alive"] and node["phase"] in LEFT_PHASES
 
 
 def _render_summary(status: StatusAnswer) -> str:
-    """Returns what holds for the installation and the region."""
+    """Returns the summary lines of the installation and the region."""
     revision = "none"
     if status["revision"]:
         revision = f"revision {status['revision']} of {status['operator']}"
@@ -155,7 +155,7 @@
 
 
 def _render_quarantine(status: StatusAnswer) -> str:
-    """Returns the table of hosts in quarantine."""
+    """Returns the table of quarantined hosts."""
     rows = [
         (host["host"], host["fence"], host["reason"])
         for host in sorted(status["quarantined"], key=lambda host: host["host"])
--- a/chervilrock/ui/tables.py
+++ b/chervilrock/ui/tables.py
@@ -1,8 +1,8 @@
-"""Tables of plain text."""
+"""Plain-text tables."""
 
 from collections.abc import Sequence
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def render_table(
@@ -15,8 +15,8 @@
 
 
 def _render_line(cells: Sequence[str], widths: Sequence[int]) -> str:
-    """Returns one line without spaces at its end."""
+    """Returns one line without trailing spaces."""
     padded = (
         cell.ljust(width) for cell, width in zip(cells, widths, strict=True)
     )
-    return GAP.join(padded).rstrip()
+    return COLUMN_SEPARATOR.join(padded).rstrip()
