--- a/chervilrock/edges/completions.py
+++ b/chervilrock/edges/completions.py
@@ -83,7 +83,7 @@
         if self._endpoint is not None and not transfer.was_paused:
             tokens = self._position - self._send_start
             self._observer.record_progress(self._endpoint, tokens, now)
-        stall_s = self._progress.measure_silence(
+        stall_s = self._progress.measure_stall_s(
             self._position, transfer.paused, now
         )
         if self._is_stalled(stall_s):
@@ -100,7 +100,7 @@
             done = receiver.positions.done
             if progress.is_broken(self._position, done, stall_s):
                 return True
-        if stall_s <= progress.GROUP_LOST_S or self._endpoint is None:
+        if stall_s <= progress.GROUP_LOST_TIMEOUT_S or self._endpoint is None:
             return False
         return not self._path.keeps_attempts(self._endpoint)
 
--- a/chervilrock/edges/progress.py
+++ b/chervilrock/edges/progress.py
@@ -1,6 +1,6 @@
 """Stall detection for the answers of engines."""
 
-GROUP_LOST_S = 1.0
+GROUP_LOST_TIMEOUT_S = 1.0
 """Time without an event after which a request abandons a group that has lost
 members or changed its fencing number."""
 
@@ -23,7 +23,7 @@
         """Restarts the measurement when a request is sent."""
         self._last_progress_at = now
 
-    def measure_silence(self, position: int, paused: bool, now: float) -> float:
+    def measure_stall_s(self, position: int, paused: bool, now: float) -> float:
         """Returns the time in seconds since the last progress.
 
         Args:
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -37,8 +37,8 @@
 from chervilrock.edges.relay import BackendRequest, TransferEnd
 from chervilrock.edges.serving import exchange as exchange_module
 from chervilrock.edges.serving import exchangelog
-from chervilrock.edges.serving import slots as slots_module
 from chervilrock.edges.serving import receiver as receiver_module
+from chervilrock.edges.serving import slots as slots_module
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.exchange import Context, Exchange
 from chervilrock.platform import headers as names
