--- a/chervilrock/standin/__init__.py
+++ b/chervilrock/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform and of the backend servers."""
+"""Test doubles (stand-ins) of the platform and of the backend servers."""
--- a/chervilrock/standin/answers.py
+++ b/chervilrock/standin/answers.py
@@ -1,6 +1,6 @@
-"""Bodies and events of the answers of the engine stand-in.
+"""Response bodies and stream events of the engine stand-in.
 
-They have the form that common clients of model engines accept.
+They have the format that common clients of model engines accept.
 """
 
 from typing import Any, NotRequired, TypedDict
@@ -24,10 +24,10 @@
 
 
 class Continuation(TypedDict):
-    """What the caller has of the answer already.
+    """The part of the answer that the caller has already received.
 
     Attributes:
-      events: number of events.
+      events: number of events received.
       text: text of these events.
     """
 
@@ -56,19 +56,19 @@
 
 
 class Answer:
-    """The whole answer to a request, known from the start.
+    """The complete answer to a request, determined when it arrives.
 
     Attributes:
       request_id: identifier of the request.
       prompt: canonical prompt.
       token_count: number of tokens.
-      event_count: number of events, without the one that says done.
+      event_count: number of events, without the final `[DONE]` event.
     """
 
     def __init__(
         self, *, request_id: str, body: CompletionRequest, chat: bool
     ) -> None:
-        """Makes the answer.
+        """Creates the answer.
 
         Args:
           request_id: identifier of the request.
@@ -78,7 +78,7 @@
         self.request_id = request_id
         self.model = body["model"]
         self.prompt = format_prompt(body)
-        self.token_count = _find_max_tokens(body)
+        self.token_count = _get_max_tokens(body)
         options = body.get("stream_options") or StreamOptions()
         self._include_usage = options.get("include_usage", False)
         self.event_count = self.token_count + int(self._include_usage)
@@ -89,7 +89,7 @@
         """Returns an event of the stream.
 
         Args:
-          number: 1 to `event_count`, and one more for the end.
+          number: 1 to `event_count`; `event_count + 1` is the `[DONE]` event.
         """
         if number > self.event_count:
             return format_sse(self.request_id, number, DONE_DATA)
@@ -100,7 +100,7 @@
         )
 
     def join_text(self, event_count: int) -> str:
-        """Returns the text of the first events."""
+        """Returns the text of the first `event_count` events."""
         count = min(event_count, self.token_count)
         return "".join(make_token(self._digest, i) for i in range(count))
 
@@ -117,13 +117,15 @@
         else:
             choice["text"] = text
         kind = "chat.completion" if self._chat else "text_completion"
-        return self._make_frame(kind, [choice]) | {"usage": self._make_usage()}
+        return self._make_envelope(kind, [choice]) | {
+            "usage": self._make_usage()
+        }
 
     def _make_chunk(self, number: int) -> dict[str, Any]:
         kind = "chat.completion.chunk" if self._chat else "text_completion"
         if number > self.token_count:
             usage = self._make_usage()
-            return self._make_frame(kind, []) | {"usage": usage}
+            return self._make_envelope(kind, []) | {"usage": usage}
         token = make_token(self._digest, number - 1)
         choice: dict[str, Any] = {
             "index": 0,
@@ -134,9 +136,9 @@
             choice["delta"] = {"role": "assistant", "content": token}
         else:
             choice["text"] = token
-        return self._make_frame(kind, [choice])
+        return self._make_envelope(kind, [choice])
 
-    def _make_frame(self, kind: str, choices: list[Any]) -> dict[str, Any]:
+    def _make_envelope(self, kind: str, choices: list[Any]) -> dict[str, Any]:
         return {
             "id": self.request_id,
             "object": kind,
@@ -154,7 +156,7 @@
         }
 
 
-def _find_max_tokens(body: CompletionRequest) -> int:
+def _get_max_tokens(body: CompletionRequest) -> int:
     for value in (body.get("max_completion_tokens"), body.get("max_tokens")):
         if value is not None:
             return max(1, value)
@@ -162,12 +164,12 @@
 
 
 def format_sse(request_id: str, number: int, data: bytes) -> bytes:
-    """Returns one server-sent event."""
+    """Formats one server-sent event."""
     return b"id: %b/%d\ndata: %b\n\n" % (request_id.encode(), number, data)
 
 
 def format_foreign_event(number: int) -> bytes:
-    """Returns an event of a request that nobody sent."""
+    """Returns an event of a request that no caller sent."""
     body = CompletionRequest(model="foreign", prompt="foreign", max_tokens=1)
     answer = Answer(request_id="foreign", body=body, chat=False)
     event = msgspec.json.encode(answer.make_body())
@@ -175,7 +177,10 @@
 
 
 def parse_event_id(value: str, request_id: str) -> int | None:
-    """Returns the number of an event identifier of a request, or None."""
+    """Returns the event number in an event identifier.
+
+    Returns None when it is malformed or belongs to another request.
+    """
     prefix, _, number = value.rpartition("/")
     if prefix != request_id or not number.isdecimal():
         return None
--- a/chervilrock/standin/batch.py
+++ b/chervilrock/standin/batch.py
@@ -17,24 +17,24 @@
 
 
 class Attempt:
-    """One run of a request in an engine.
+    """One execution of a request in an engine.
 
     Attributes:
-      answer: the whole answer, of which events are released one by one.
+      answer: the complete answer, whose events are released one by one.
       emitted: number of events released so far.
-      ready_at: time in seconds when the prefill ends.
-      ending: how it ended, None before the end.
+      ready_at: time in seconds at which the prefill ends.
+      ending: how the attempt ended, None while it waits or runs.
     """
 
     def __init__(
         self, *, answer: Answer, priority: int, emitted: int = 0
     ) -> None:
-        """Makes an attempt that waits.
+        """Creates a waiting attempt.
 
         Args:
-          answer: the whole answer.
-          priority: 0 for the first to 9 for the last.
-          emitted: number of events that another engine released.
+          answer: the complete answer.
+          priority: 0 (highest) to 9 (lowest).
+          emitted: number of events that another engine has released.
         """
         self.answer = answer
         self.priority = priority
@@ -50,23 +50,23 @@
         changed.set()
 
     async def wait_beyond(self, position: int) -> None:
-        """Waits for more than `position` events or for the end."""
+        """Waits until more than `position` events are out or it ends."""
         while self.emitted <= position and self.ending is None:
             await self._changed.wait()
 
     async def wait_end(self) -> Ending:
-        """Waits for the end."""
+        """Waits until the attempt ends and returns how it ended."""
         while self.ending is None:
             await self._changed.wait()
         return self.ending
 
     def start(self, ready_at: float) -> None:
-        """Begins to run."""
+        """Marks the attempt as running, with its prefill end in seconds."""
         self.phase = AttemptPhase.RUNNING
         self.ready_at = ready_at
 
     def advance(self) -> None:
-        """Releases one more event."""
+        """Releases the next event; the last one ends the attempt."""
         if self.emitted < self.answer.event_count:
             self.emitted += 1
         if self.emitted >= self.answer.event_count:
@@ -75,7 +75,7 @@
             self._wake()
 
     def end(self, ending: Ending) -> None:
-        """Ends the attempt, unless it has ended."""
+        """Ends the attempt; does nothing if it has already ended."""
         if self.ending is None:
             self.phase = AttemptPhase.DONE
             self.ending = ending
@@ -83,14 +83,14 @@
 
 
 class Batch:
-    """Attempts that run together, and a queue by priority."""
+    """Attempts that run together, and a priority queue of waiting ones."""
 
     def __init__(self, *, max_running: int, max_waiting: int) -> None:
-        """Makes an empty batch.
+        """Creates an empty batch.
 
         Args:
-          max_running: greatest number of attempts that run together.
-          max_waiting: greatest number of attempts in the queue.
+          max_running: maximum number of attempts that run together.
+          max_waiting: maximum number of attempts in the queue.
         """
         self._max_running = max_running
         self._max_waiting = max_waiting
@@ -105,11 +105,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether no attempt waits or runs."""
         return not self._waiting and not self.running
 
     def offer(self, attempt: Attempt) -> bool:
-        """Takes an attempt into the queue; False when there is no room."""
+        """Queues an attempt; returns False when the queue is full."""
         free = self._max_running - len(self.running)
         if len(self._waiting) >= self._max_waiting + free:
             return False
@@ -119,7 +119,7 @@
         return True
 
     def take_next(self) -> Attempt | None:
-        """Moves the first attempt of the queue into the batch, if it fits."""
+        """Moves the first queued attempt into the batch if a slot is free."""
         if not self._waiting or len(self.running) >= self._max_running:
             return None
         attempt = heapq.heappop(self._waiting)[2]
@@ -127,38 +127,38 @@
         return attempt
 
     def find_ready_time(self) -> float:
-        """Returns the least end of a prefill in seconds, 0 for none."""
+        """Returns the earliest prefill end in seconds, 0 if none runs."""
         return min((attempt.ready_at for attempt in self.running), default=0.0)
 
     def step(self, now: float) -> int:
         """Releases one event of each attempt whose prefill has ended.
 
         Returns:
-          The number of events.
+          The number of attempts that released an event.
         """
         ready = [item for item in self.running if item.ready_at <= now]
         for attempt in ready:
             attempt.advance()
-        self._forget_ended()
+        self._remove_ended()
         return len(ready)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ends an attempt that waits or runs."""
+        """Cancels a waiting or running attempt."""
         if attempt.phase is AttemptPhase.WAITING:
             attempt.end(Ending.NOT_RUN)
         else:
             attempt.end(Ending.BROKEN)
-        self._forget_ended()
+        self._remove_ended()
 
     def break_all(self) -> None:
-        """Ends everything: what runs is broken, what waits has not run."""
+        """Ends running attempts as broken and waiting ones as not run."""
         for attempt in self.running:
             attempt.end(Ending.BROKEN)
         for _, _, attempt in self._waiting:
             attempt.end(Ending.NOT_RUN)
-        self._forget_ended()
+        self._remove_ended()
 
-    def _forget_ended(self) -> None:
+    def _remove_ended(self) -> None:
         self.running = [item for item in self.running if not item.ending]
         waiting = [item for item in self._waiting if not item[2].ending]
         if len(waiting) < len(self._waiting):
--- a/chervilrock/standin/budget.py
+++ b/chervilrock/standin/budget.py
@@ -1,16 +1,16 @@
-"""Rate limit of a stand-in: a token bucket."""
+"""Token bucket that limits the rate of a stand-in."""
 
 
 class Budget:
-    """A token bucket that may go into debt for one large request."""
+    """A token bucket whose level may go negative for one large request."""
 
     def __init__(self, *, rate: float, burst: float, now: float) -> None:
-        """Makes a full bucket.
+        """Creates a full bucket.
 
         Args:
-          rate: units added in a second.
-          burst: units that the bucket holds.
-          now: present time in seconds.
+          rate: units refilled per second.
+          burst: capacity of the bucket in units.
+          now: current time in seconds.
         """
         self._rate = rate
         self._burst = burst
@@ -18,19 +18,19 @@
         self._filled_at = now
 
     def take(self, amount: float, now: float) -> float:
-        """Takes units when there are enough.
+        """Consumes units if there are enough.
 
-        A request for more than the bucket holds is granted when it is full.
+        A request for more than the capacity is granted when the bucket is full.
 
         Args:
-          amount: units wanted.
-          now: present time in seconds.
+          amount: units requested.
+          now: current time in seconds.
 
         Returns:
-          0 when granted, else the time to wait in seconds.
+          0 when granted, otherwise the time to wait in seconds.
         """
-        gained = (now - self._filled_at) * self._rate
-        self._level = min(self._burst, self._level + gained)
+        refilled = (now - self._filled_at) * self._rate
+        self._level = min(self._burst, self._level + refilled)
         self._filled_at = now
         missing = min(amount, self._burst) - self._level
         if missing > 0:
--- a/chervilrock/standin/cache.py
+++ b/chervilrock/standin/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the engine stand-in, with its events."""
+"""Prefix cache of the engine stand-in and its event feed."""
 
 import collections
 from typing import NamedTuple
@@ -6,11 +6,11 @@
 from chervilrock.clients.base import CacheEventPage
 from chervilrock.generated.interfaces import CacheEvent
 
-_KEPT_EVENTS = 4096
+_MAX_EVENTS = 4096
 
 
 class _TimedEvent(NamedTuple):
-    at: float
+    recorded_at_s: float
     event: CacheEvent
 
 
@@ -18,18 +18,18 @@
     """Least recently used cache of prefix blocks."""
 
     def __init__(self, *, capacity: int, lag_s: float) -> None:
-        """Makes an empty cache.
+        """Creates an empty cache.
 
         Args:
-          capacity: greatest number of blocks.
-          lag_s: time in seconds after which an event can be read.
+          capacity: maximum number of blocks.
+          lag_s: delay in seconds before an event can be read.
         """
         self._capacity = capacity
         self._lag_s = lag_s
         self._blocks: collections.OrderedDict[str, None]
         self._blocks = collections.OrderedDict()
         self._events: collections.deque[_TimedEvent]
-        self._events = collections.deque(maxlen=_KEPT_EVENTS)
+        self._events = collections.deque(maxlen=_MAX_EVENTS)
         self._next_sequence = 1
 
     @property
@@ -44,11 +44,11 @@
 
         Args:
           blocks: hashes of the blocks in order.
-          now: present time in seconds.
-          drop: whether the events get lost.
+          now: current time in seconds.
+          drop: whether the events of this call are lost.
 
         Returns:
-          The number of leading blocks that were there before.
+          The number of leading blocks that were already cached.
         """
         hits = self._count_hits(blocks)
         for block in blocks:
@@ -56,24 +56,24 @@
                 self._blocks.move_to_end(block)
                 continue
             self._blocks[block] = None
-            self._note(block, True, now, drop)
+            self._append_event(block, True, now, drop)
             self._evict(now, drop)
         return hits
 
     def clear(self) -> None:
-        """Forgets all blocks without an event, as a restart does."""
+        """Removes all blocks without an event, as a restart does."""
         self._blocks.clear()
 
     def list_events(self, start: int, now: float) -> CacheEventPage:
-        """Returns the events from a sequence number on that can be read."""
-        seen = tuple(
+        """Returns the readable events from a sequence number on."""
+        readable = tuple(
             timed.event
             for timed in self._events
             if timed.event["sequence"] >= start
-            and timed.at <= now - self._lag_s
+            and timed.recorded_at_s <= now - self._lag_s
         )
-        following = seen[-1]["sequence"] + 1 if seen else start
-        return CacheEventPage(events=seen, next=following)
+        next_sequence = readable[-1]["sequence"] + 1 if readable else start
+        return CacheEventPage(events=readable, next=next_sequence)
 
     def _count_hits(self, blocks: tuple[str, ...]) -> int:
         for index, block in enumerate(blocks):
@@ -84,9 +84,11 @@
     def _evict(self, now: float, drop: bool) -> None:
         if len(self._blocks) > self._capacity:
             block, _ = self._blocks.popitem(last=False)
-            self._note(block, False, now, drop)
+            self._append_event(block, False, now, drop)
 
-    def _note(self, block: str, stored: bool, now: float, drop: bool) -> None:
+    def _append_event(
+        self, block: str, stored: bool, now: float, drop: bool
+    ) -> None:
         sequence = self._next_sequence
         self._next_sequence += 1
         if not drop:
--- a/chervilrock/standin/engine.py
+++ b/chervilrock/standin/engine.py
@@ -25,8 +25,8 @@
 from chervilrock.standin.text import list_prefix_blocks
 
 _MS_PER_S = 1000.0
-_KEPT_ATTEMPTS = 4096
-_LONGEST_IDLE_S = 0.02
+_MAX_ATTEMPTS = 4096
+_MAX_STEP_WAIT_S = 0.02
 
 
 class EngineOptions(NamedTuple):
@@ -34,18 +34,19 @@
 
     Attributes:
       host: name of its host.
-      checks_fence: whether it refuses orders with an old fencing number.
+      checks_fence: whether it rejects orders with an old fencing number.
       load_ms: time to load a shard.
       unload_ms: time to unload a shard.
-      token_ms: time of one step of the batch, which gives each attempt a
-        token.
-      prefill_ms: time before the first token of an attempt.
-      prefill_block_ms: time more for each prefix block not in the cache.
-      max_running: greatest number of attempts that run together.
-      max_waiting: greatest number of attempts in the queue.
+      token_ms: time of one step of the batch, which releases one token of
+        each attempt.
+      prefill_ms: base time before the first token of an attempt.
+      prefill_block_ms: additional time for each prefix block missing from
+        the cache.
+      max_running: maximum number of attempts that run together.
+      max_waiting: maximum number of attempts in the queue.
       load_lag_ms: age of load reports.
-      event_lag_ms: time after which a cache event can be read.
-      cache_blocks: prefix blocks that the cache holds.
+      event_lag_ms: delay before a cache event can be read.
+      cache_blocks: capacity of the prefix cache in blocks.
       weight_store: IP:port to fetch shards from, empty for none.
     """
 
@@ -64,7 +65,7 @@
     weight_store: str = ""
 
 
-class _Counts(NamedTuple):
+class _LoadCounts(NamedTuple):
     running: int = 0
     waiting: int = 0
     cache_used: float = 0.0
@@ -73,9 +74,9 @@
 class EngineStandIn(StandIn):
     """A model engine on one host.
 
-    `kill` is the death of the host: it loses its shard and all attempts, and
-    the group that it was in. A new `start` is a new, empty engine; only
-    `executions` goes on counting.
+    `kill` simulates a host failure: the engine loses its shard and all
+    attempts, and leaves its group. The next `start` creates an empty engine;
+    only the counts in `executions` are kept.
     """
 
     def __init__(
@@ -86,14 +87,14 @@
         clock: Callable[[], float] = time.monotonic,
         faults: Faults | None = None,
     ) -> None:
-        """Makes an engine that does not listen yet.
+        """Creates an engine that does not listen yet.
 
         Args:
           options: speed, sizes and lags.
           fabric: registry of the engines of this process; without it the
-            engine takes its peers to be present.
-          clock: source of the present time in seconds.
-          faults: faults to show.
+            engine assumes that its peers are present.
+          clock: source of the current time in seconds.
+          faults: faults to inject.
         """
         super().__init__(faults=faults)
         self.options = options or EngineOptions()
@@ -119,14 +120,14 @@
             lag_s=options.event_lag_ms / _MS_PER_S,
         )
         self._load = LaggedValue(
-            value=_Counts(),
+            value=_LoadCounts(),
             lag_s=options.load_lag_ms / _MS_PER_S,
             now=self.clock(),
         )
         self._attempts: collections.OrderedDict[str, Attempt]
         self._attempts = collections.OrderedDict()
         self._by_request: dict[str, Attempt] = {}
-        self._work = asyncio.Event()
+        self._work_available = asyncio.Event()
 
     def _list_routes(self) -> list[Route]:
         return list_engine_routes()
@@ -150,20 +151,20 @@
 
     @property
     def incarnation(self) -> str:
-        """Identity of this run of the engine."""
+        """Identifier of the engine process since its last start."""
         return f"{self.options.host}-{self.starts}"
 
     def ignores_fence(self) -> bool:
-        """Whether a fault makes it take old fencing numbers."""
+        """Returns whether a fault makes it accept old fencing numbers."""
         return self.faults.strike(FaultKind.IGNORE_FENCE) is not None
 
     def take_order(self, order: EngineOrder) -> bool:
-        """Begins what an order asks for; False when it is refused."""
+        """Starts to carry out an order; returns False when it is rejected."""
         ignore = not self.options.checks_fence or self.ignores_fence()
         return self.shards.take_order(order, ignore_fence=ignore)
 
     def read_state(self) -> EngineState:
-        """Returns what the engine holds."""
+        """Returns the state of the engine and its shard."""
         state = EngineState(
             host=self.options.host,
             incarnation=self.incarnation,
@@ -176,7 +177,7 @@
         return state
 
     def read_load(self) -> EngineLoad:
-        """Returns the load as it was some time ago."""
+        """Returns the load as it was `load_lag_ms` ago."""
         counts = self._load.get(self.clock())
         token_s = self.options.token_ms / _MS_PER_S
         return EngineLoad(
@@ -188,12 +189,12 @@
         )
 
     def read_attempt(self, attempt_id: str) -> AttemptPhase:
-        """Returns what the engine knows of an attempt."""
+        """Returns the phase of an attempt, `UNKNOWN` if it is not known."""
         attempt = self._attempts.get(attempt_id)
         return AttemptPhase.UNKNOWN if attempt is None else attempt.phase
 
     def cancel(self, attempt_id: str) -> bool:
-        """Cancels an attempt; False when it is not known."""
+        """Cancels an attempt; returns False when it is not known."""
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
             return False
@@ -202,17 +203,17 @@
         return True
 
     def find_attempt(self, request_id: str, position: int) -> Attempt | None:
-        """Returns the attempt of a request that can go on after an event."""
+        """Returns the attempt of a request that can resume after an event."""
         attempt = self._by_request.get(request_id)
         if attempt is None or attempt.ending not in (None, Ending.WHOLE):
             return None
         return attempt if position <= attempt.emitted else None
 
     def link_attempt(self, attempt_id: str, attempt: Attempt) -> None:
-        """Makes an attempt known by one more identifier."""
+        """Registers an attempt under an additional identifier."""
         self._attempts[attempt_id] = attempt
         self._by_request[attempt.answer.request_id] = attempt
-        while len(self._attempts) > _KEPT_ATTEMPTS:
+        while len(self._attempts) > _MAX_ATTEMPTS:
             _, oldest = self._attempts.popitem(last=False)
             request_id = oldest.answer.request_id
             if self._by_request.get(request_id) is oldest:
@@ -221,26 +222,26 @@
     def offer(
         self, attempt_id: str, answer: Answer, priority: int, emitted: int
     ) -> Attempt | None:
-        """Queues an attempt; None when there is no room."""
+        """Queues an attempt; returns None when the queue is full."""
         attempt = Attempt(answer=answer, priority=priority, emitted=emitted)
         if not self._batch.offer(attempt):
             return None
         self.link_attempt(attempt_id, attempt)
         self._record_load()
-        self._work.set()
+        self._work_available.set()
         return attempt
 
     def break_streams(self) -> None:
-        """Breaks all attempts, since the group lost a host."""
+        """Ends all attempts because the group lost a host."""
         self._batch.break_all()
         self._record_load()
 
     def check_group(self) -> GroupCondition:
-        """Checks whether the group of the engine is whole."""
+        """Returns the condition of the group of the engine."""
         return self.shards.check_group()
 
     def _record_load(self) -> None:
-        counts = _Counts(
+        counts = _LoadCounts(
             len(self._batch.running),
             self._batch.waiting_count,
             self.cache.used,
@@ -248,12 +249,12 @@
         self._load.set(counts, self.clock())
 
     async def _run(self) -> None:
-        """Steps the batch while there is work."""
+        """Runs steps of the batch, and waits while it is idle."""
         step_at = self.clock()
         while True:
             if self._batch.idle:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 step_at = self.clock()
             await self._wait_resumed()
             self._admit()
@@ -267,7 +268,7 @@
         await self.shards.wait_resumed()
 
     async def _wait_step(self, step_at: float) -> float:
-        """Waits for the next step and returns the time that it is due."""
+        """Waits for the next step and returns its due time in seconds."""
         rule = self.faults.strike(FaultKind.SLOW_TOKEN)
         extra_ms = rule.get("delay_ms", 0) if rule else 0
         token_s = (self.options.token_ms + extra_ms) / _MS_PER_S
@@ -275,7 +276,7 @@
         due = max(now, step_at + token_s)
         if token_s == 0:
             ready_at = self._batch.find_ready_time()
-            due = max(due, min(ready_at, now + _LONGEST_IDLE_S))
+            due = max(due, min(ready_at, now + _MAX_STEP_WAIT_S))
         await asyncio.sleep(due - now)
         return due
 
@@ -289,7 +290,7 @@
             self._record_load()
 
     def _prefill(self, answer: Answer, now: float) -> float:
-        """Fills the cache and returns the time that it takes in ms."""
+        """Stores the prompt in the cache and returns the prefill time in ms."""
         blocks = list_prefix_blocks(answer.model, answer.prompt)
         drop = self.faults.strike(FaultKind.DROP_CACHE_EVENT) is not None
         hits = self.cache.store(blocks, now, drop=drop)
--- a/chervilrock/standin/enginehandlers.py
+++ b/chervilrock/standin/enginehandlers.py
@@ -39,7 +39,7 @@
 
 
 def list_engine_routes() -> list[Route]:
-    """Returns the paths of an engine."""
+    """Returns the HTTP routes of an engine."""
     return [
         (r"/v1/chat/completions", ChatHandler),
         (r"/v1/completions", CompletionHandler),
@@ -102,7 +102,7 @@
     """Runs a completion request."""
 
     chat = False
-    _held_event = b""
+    _delayed_event = b""
     _decoder = msgspec.json.Decoder(CompletionRequest)
 
     async def post(self) -> None:
@@ -129,7 +129,7 @@
         return self.request.headers.get(name) or uuid.uuid4().hex
 
     def _check_request(self, body: CompletionRequest) -> bool:
-        """Answers a refusal and returns False when it cannot run here."""
+        """Rejects a request that cannot run here and returns False."""
         shards = self.standin.shards
         shard = shards.shard
         if (
@@ -155,9 +155,9 @@
     def _find_attempt(
         self, body: CompletionRequest
     ) -> tuple[Attempt | None, int]:
-        """Returns an attempt and the number of events that were sent of it.
+        """Returns an attempt and the number of its events already sent.
 
-        It answers a refusal itself when there is no attempt.
+        Rejects the request when there is no attempt.
         """
         continuation = body.get("continuation")
         last_event = self.request.headers.get(LAST_EVENT_HEADER)
@@ -226,7 +226,7 @@
             await self.finish()
 
     async def _send_events(self, attempt: Attempt, position: int) -> bool:
-        """Sends all events; False when the connection is closed."""
+        """Sends all events; returns False when the connection is closed."""
         rule = self.strike(FaultKind.BREAK_STREAM)
         break_at = None
         if rule is not None:
@@ -250,27 +250,31 @@
         return True
 
     def _format_events(self, answer: Answer, start: int, end: int) -> bytes:
-        """Returns the events after `start` up to `end`, with faults."""
+        """Formats the events after `start` up to `end`, with faults applied."""
         chunks = []
         for number in range(start + 1, end + 1):
             event = answer.format_event(number)
             if self.strike(FaultKind.FOREIGN_EVENT):
                 chunks.append(format_foreign_event(number))
-            if self._hold_event(event, number, answer):
+            if self._delay_event(event, number, answer):
                 continue
             chunks.append(event)
-            chunks.append(self._held_event)
-            self._held_event = b""
+            chunks.append(self._delayed_event)
+            self._delayed_event = b""
             if self.strike(FaultKind.REPEAT_EVENT):
                 chunks.append(event)
         return b"".join(chunks)
 
-    def _hold_event(self, event: bytes, number: int, answer: Answer) -> bool:
-        """Keeps an event back until the next one, when a fault strikes."""
+    def _delay_event(self, event: bytes, number: int, answer: Answer) -> bool:
+        """Delays an event until after the next one if a fault applies."""
         is_last = number > answer.event_count
-        if self._held_event or is_last or not self.strike(FaultKind.HOLD_EVENT):
+        if (
+            self._delayed_event
+            or is_last
+            or not self.strike(FaultKind.HOLD_EVENT)
+        ):
             return False
-        self._held_event = event
+        self._delayed_event = event
         return True
 
 
--- a/chervilrock/standin/fabric.py
+++ b/chervilrock/standin/fabric.py
@@ -1,4 +1,4 @@
-"""What the engine stand-ins of one process know of each other."""
+"""Registry that connects the engine stand-ins of one process."""
 
 import enum
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class GroupCondition(enum.StrEnum):
-    """Whether the hosts of a group work together.
+    """Whether the hosts of a group can serve together.
 
     WHOLE: every host holds its shard.
     FROZEN: every host holds its shard, but one of them is paused.
@@ -28,27 +28,27 @@
     faults: Faults
 
     def break_streams(self) -> None:
-        """Breaks all streams, since the group lost a host."""
+        """Breaks all streams because the group lost a host."""
 
 
 class Fabric:
     """Registry of the shards that engines hold ready.
 
-    It stands for the fast network among the hosts of a group, over which the
-    host with rank 0 notices at once that another one is gone.
+    It models the fast network among the hosts of a group, over which the
+    host with rank 0 detects the loss of another host immediately.
     """
 
     def __init__(self) -> None:
-        """Makes an empty registry."""
+        """Creates an empty registry."""
         self._holders: dict[_GroupKey, dict[int, FabricMember]] = {}
 
     def enter(self, member: FabricMember, shard: EngineShard) -> None:
-        """Notes that an engine holds a shard ready."""
+        """Records that an engine holds a shard ready."""
         holders = self._holders.setdefault(_make_key(shard), {})
         holders[shard["rank"]] = member
 
     def leave(self, member: FabricMember, shard: EngineShard) -> None:
-        """Notes that an engine lost a shard, and breaks its group."""
+        """Records that an engine lost a shard; breaks its group's streams."""
         key = _make_key(shard)
         holders = self._holders.get(key, {})
         if holders.get(shard["rank"]) is not member:
@@ -61,7 +61,7 @@
             del self._holders[key]
 
     def check_group(self, shard: EngineShard) -> GroupCondition:
-        """Checks the group of a shard."""
+        """Returns the condition of the group of a shard."""
         holders = self._holders.get(_make_key(shard), {})
         if len(holders) < shard["size"]:
             return GroupCondition.BROKEN
@@ -70,7 +70,7 @@
         return GroupCondition.WHOLE
 
     async def wait_resumed(self, shard: EngineShard) -> None:
-        """Waits while a host of the group of a shard is paused."""
+        """Waits while any host in the group of a shard is paused."""
         for member in list(self._holders.get(_make_key(shard), {}).values()):
             await member.faults.wait_resumed()
 
--- a/chervilrock/standin/faults.py
+++ b/chervilrock/standin/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in was told to show."""
+"""Fault injection for stand-ins."""
 
 import asyncio
 import enum
@@ -7,21 +7,21 @@
 
 
 class FaultKind(enum.StrEnum):
-    """A way to fail.
+    """A kind of fault to inject.
 
     LOSE_ANSWER: take effect, then close the connection without an answer.
     REFUSE: answer 503 with X-Not-Run before any effect.
     DELAY: wait `delay_ms` before the effect.
     ANSWER_LATE: wait `delay_ms` between the effect and the answer.
-    OUTAGE: answer 503 before any effect, without a proof.
-    CLOSE_REUSED: on a connection that had a request before, take effect and
-      close the connection without an answer.
+    OUTAGE: answer 503 before any effect, without X-Not-Run.
+    CLOSE_REUSED: on a connection that has served a request before, take effect
+      and close the connection without an answer.
     BREAK_STREAM: close the connection of a stream after `after_events`.
     REPEAT_EVENT: send an event of a stream twice.
     FOREIGN_EVENT: send an event of another request within a stream.
     HOLD_EVENT: send an event of a stream after the one that follows it.
     DROP_CACHE_EVENT: lose a cache event, which leaves a gap.
-    IGNORE_FENCE: take old fencing numbers of orders and requests.
+    IGNORE_FENCE: accept old fencing numbers of orders and requests.
     SLOW_TOKEN: add `delay_ms` to each step of the batch.
     """
 
@@ -41,13 +41,13 @@
 
 
 class FaultRule(TypedDict):
-    """When a fault strikes.
+    """A fault to inject and the requests that it applies to.
 
     Attributes:
-      path: prefix of the paths that it strikes, everything when missing.
-      method: HTTP method that it strikes, all when missing.
-      count: number of times that it strikes, without end when missing.
-      probability: chance to strike at each occasion, 1 when missing.
+      path: prefix of the paths that it applies to, all when missing.
+      method: HTTP method that it applies to, all when missing.
+      count: number of times that it applies, unlimited when missing.
+      probability: probability of applying to a match, 1 when missing.
       delay_ms: length of a delay in milliseconds.
       after_events: number of events before a stream breaks.
     """
@@ -62,7 +62,7 @@
 
 
 class FaultOrder(TypedDict):
-    """Body of `POST /faults`; what is missing stays as it is.
+    """Body of `POST /faults`; missing members leave the state unchanged.
 
     Attributes:
       clear: whether to remove all rules first.
@@ -76,13 +76,13 @@
 
 
 class Faults:
-    """The rules in force, and whether the stand-in is frozen."""
+    """The active fault rules, and whether the stand-in is frozen."""
 
     def __init__(self, *, rng: random.Random | None = None) -> None:
-        """Makes an empty set of rules.
+        """Creates an empty set of rules.
 
         Args:
-          rng: source of chance for rules with a probability.
+          rng: random number generator for rules with a probability.
         """
         self._rng = rng or random.Random(0)
         self._rules: list[FaultRule] = []
@@ -90,17 +90,17 @@
         self._running.set()
 
     def add(self, rule: FaultRule) -> None:
-        """Adds a rule after the others."""
+        """Appends a copy of a rule."""
         self._rules.append(rule.copy())
 
     def clear(self, kind: FaultKind | None = None) -> None:
-        """Removes the rules of one kind, or all."""
+        """Removes the rules of one kind, or all rules."""
         self._rules = [
             rule for rule in self._rules if kind and rule["kind"] != kind
         ]
 
     def apply(self, order: FaultOrder) -> None:
-        """Applies an order that came over HTTP."""
+        """Applies an order received over HTTP."""
         if order.get("clear", False):
             self.clear()
         for rule in order.get("rules", ()):
@@ -109,25 +109,25 @@
             self.set_paused(order["paused"])
 
     def list_rules(self) -> tuple[FaultRule, ...]:
-        """Returns the rules in force, with the counts that are left."""
+        """Returns the active rules with their remaining counts."""
         return tuple(self._rules)
 
     def strike(
         self, kind: FaultKind, path: str = "", method: str = ""
     ) -> FaultRule | None:
-        """Decides whether a fault strikes now, and uses up one of its count.
+        """Decides whether a fault applies now, and decrements its count.
 
         Args:
-          kind: fault that could strike.
+          kind: kind of fault.
           path: path of the request.
           method: HTTP method of the request.
 
         Returns:
-          The rule that strikes, or None.
+          The rule that applies, or None.
         """
         for rule in self._rules:
             if rule["kind"] == kind and self._matches(rule, path, method):
-                self._use_up(rule)
+                self._decrement_count(rule)
                 return rule
         return None
 
@@ -139,7 +139,7 @@
         probability = rule.get("probability", 1.0)
         return probability >= 1.0 or self._rng.random() < probability
 
-    def _use_up(self, rule: FaultRule) -> None:
+    def _decrement_count(self, rule: FaultRule) -> None:
         if "count" not in rule:
             return
         rule["count"] -= 1
@@ -152,7 +152,7 @@
         return not self._running.is_set()
 
     def set_paused(self, paused: bool) -> None:
-        """Freezes the stand-in or lets it go on."""
+        """Freezes or resumes the stand-in."""
         if paused:
             self._running.clear()
         else:
--- a/chervilrock/standin/installation.py
+++ b/chervilrock/standin/installation.py
@@ -1,6 +1,6 @@
-"""A whole set of stand-ins in one event loop.
+"""A complete set of stand-ins in one event loop.
 
-The demonstration and tests need a platform with its host list, a model
+The demonstration and the tests need a platform with its host list, a model
 engine on every host and the backend servers of the plain services.
 """
 
@@ -32,7 +32,7 @@
         engine_options: EngineOptions,
         platform_options: PlatformOptions | None = None,
     ) -> None:
-        """Make stand-ins that do not listen yet.
+        """Create stand-ins that do not listen yet.
 
         Args:
           hosts: hosts and backend servers; addresses are replaced
@@ -40,7 +40,7 @@
           engine_options: speed and sizes of every engine
           platform_options: sizes and rates of the platform
         """
-        self._listed = hosts
+        self._host_list = hosts
         fabric = Fabric()
         self.platform = PlatformStandIn(options=platform_options, models=models)
         self.engines = {
@@ -61,23 +61,25 @@
         self._entries: dict[str, HostEntry] = {}
 
     async def start(self) -> str:
-        """Start everything and return the address of the platform."""
+        """Start all stand-ins and return the address of the platform."""
         await self.platform.start()
-        for entry in self._listed["hosts"]:
+        for entry in self._host_list["hosts"]:
             name = entry["host"]
             address = await self.engines[name].start()
             self._entries[name] = HostEntry(**{**entry, "address": address})
         services = []
-        for listed, standin in zip(
-            self._listed["services"], self.services.values(), strict=True
+        for service_entry, standin in zip(
+            self._host_list["services"], self.services.values(), strict=True
         ):
             address = await standin.start()
-            services.append(ServiceEntry(**{**listed, "address": address}))
+            services.append(
+                ServiceEntry(**{**service_entry, "address": address})
+            )
         self.platform.set_hosts(tuple(self._entries.values()), tuple(services))
         return self.platform.address
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all stand-ins."""
         for engine in self.engines.values():
             await engine.stop()
         for service in self.services.values():
@@ -85,26 +87,26 @@
         await self.platform.stop()
 
     def kill_host(self, host: str) -> None:
-        """Let a host die; its entry stays on the lagging host list."""
+        """Kill a host; its entry stays on the lagging host list."""
         self.engines[host].kill()
 
     async def return_host(self, host: str) -> None:
-        """Let a dead host come back empty, at another port."""
+        """Restart a dead host with an empty engine on a new port."""
         address = await self.engines[host].start()
         entry = HostEntry(**{**self._entries[host], "address": address})
         self._entries[host] = entry
         self.platform.add_hosts((entry,))
 
     def mark_leaving(self, host: str) -> None:
-        """Let the host list say that a host is leaving."""
+        """Mark a host as leaving on the host list."""
         entry = HostEntry(**{**self._entries[host], "leaving": True})
         self._entries[host] = entry
         self.platform.add_hosts((entry,))
 
     def count_calls(self) -> Counter[str]:
-        """Return how often each plain service ran each call.
+        """Return how often the plain services ran each call.
 
-        A call is known by its method and path, as in `POST /entries/7`.
+        A call is identified by its method and path, as in `POST /entries/7`.
         """
         total: Counter[str] = Counter()
         for service in self.services.values():
--- a/chervilrock/standin/log.py
+++ b/chervilrock/standin/log.py
@@ -7,11 +7,11 @@
 
 
 class StoredBytes(NamedTuple):
-    """A record as the log service keeps it.
+    """A record as the log service stores it.
 
     Attributes:
       at: time of the append in seconds.
-      data: record in JSON, not looked into.
+      data: record in JSON, not decoded.
     """
 
     offset: int
@@ -23,10 +23,10 @@
     """One stream with offsets from 1 and bounded retention."""
 
     def __init__(self, *, keep_count: int, keep_s: float) -> None:
-        """Makes an empty stream.
+        """Creates an empty stream.
 
         Args:
-          keep_count: greatest number of records kept.
+          keep_count: maximum number of records kept.
           keep_s: time in seconds that a record is kept.
         """
         self.next_offset = 1
@@ -36,7 +36,7 @@
 
     @property
     def first_offset(self) -> int:
-        """Least offset still kept."""
+        """Lowest offset that is still kept."""
         return self.next_offset - len(self._records)
 
     def append(
@@ -57,7 +57,7 @@
         return tuple(self._records[index] for index in range(skip, end))
 
     def expire(self, now: float) -> None:
-        """Drops the records beyond the retention."""
+        """Drops the records beyond the retention limits."""
         records = self._records
         while len(records) > self._keep_count or (
             records and records[0].at < now - self._keep_s
--- a/chervilrock/standin/platform.py
+++ b/chervilrock/standin/platform.py
@@ -30,9 +30,9 @@
     Attributes:
       keep_count: records kept in each stream.
       keep_s: time in seconds that a record is kept.
-      appends_per_s: append requests granted in a second, 0 for no limit.
-      host_lag_s: time in seconds after which a change of the host list shows.
-      weight_bytes_per_s: bytes of shards granted in a second, 0 for no limit.
+      appends_per_s: append requests granted per second, 0 for no limit.
+      host_lag_s: delay in seconds before a host list change is visible.
+      weight_bytes_per_s: shard bytes granted per second, 0 for no limit.
       weight_burst_bytes: bytes granted at once after an idle time.
     """
 
@@ -59,7 +59,7 @@
 class PlatformStandIn(StandIn):
     """Log service, host list and weight store on one address.
 
-    What it keeps outlives `kill` and a new `start`, as the platform's store
+    Its data survives `kill` and the next `start`, as the data of the platform
     does.
     """
 
@@ -71,13 +71,13 @@
         clock: Callable[[], float] = time.monotonic,
         faults: Faults | None = None,
     ) -> None:
-        """Makes a platform with empty streams.
+        """Creates a platform with empty streams.
 
         Args:
           options: sizes, rates and lags; no limits when missing.
           models: models in the weight store by name.
-          clock: source of the present time in seconds.
-          faults: faults to show.
+          clock: source of the current time in seconds.
+          faults: faults to inject.
         """
         super().__init__(faults=faults)
         self.options = options or PlatformOptions()
@@ -119,7 +119,7 @@
         changed.set()
 
     def get_stream(self, name: str) -> LogStream:
-        """Returns a stream, which is made when it does not exist."""
+        """Returns a stream, which is created if it does not exist."""
         if name not in self._streams:
             self._streams[name] = LogStream(
                 keep_count=self.options.keep_count, keep_s=self.options.keep_s
@@ -131,19 +131,19 @@
     def append(
         self, name: str, records: tuple[msgspec.Raw, ...]
     ) -> tuple[int, ...]:
-        """Appends records and wakes the reads that wait."""
+        """Appends records and wakes the waiting long polls."""
         offsets = self.get_stream(name).append(records, self.clock())
         self._wake()
         return offsets
 
     def take_append(self) -> float:
-        """Takes an append from the budget; returns the time to wait in s."""
+        """Consumes one append from the budget; returns the wait in seconds."""
         if self._append_budget is None:
             return 0.0
         return self._append_budget.take(1.0, self.clock())
 
     async def wait_records(self, name: str, start: int, wait_s: float) -> None:
-        """Waits until a stream holds an offset, or for a time in seconds."""
+        """Waits at most `wait_s` seconds until a stream holds an offset."""
         try:
             async with asyncio.timeout(wait_s):
                 while self.alive and self.get_stream(name).next_offset <= start:
@@ -156,7 +156,7 @@
         hosts: tuple[HostEntry, ...],
         services: tuple[ServiceEntry, ...] = (),
     ) -> None:
-        """Changes the host list, which shows after the lag."""
+        """Replaces the host list; the change is visible after the lag."""
         self._hosts.set(_Hosts(hosts, services), self.clock())
 
     def add_hosts(
@@ -164,7 +164,7 @@
         hosts: tuple[HostEntry, ...],
         services: tuple[ServiceEntry, ...] = (),
     ) -> None:
-        """Adds entries to the host list, or replaces older ones."""
+        """Adds entries to the host list, or replaces existing ones."""
         newest = self._hosts.newest
         hosts_by_name = {entry["host"]: entry for entry in newest.hosts}
         hosts_by_name |= {entry["host"]: entry for entry in hosts}
@@ -176,15 +176,15 @@
 
     def list_hosts(self) -> HostList:
         """Returns the host list as callers see it now."""
-        seen = self._hosts.get(self.clock())
+        visible = self._hosts.get(self.clock())
         return HostList(
-            hosts=seen.hosts,
-            services=seen.services,
+            hosts=visible.hosts,
+            services=visible.services,
             age_ms=int(self._hosts.lag_s * _MS_PER_S),
         )
 
     def take_shard(self, entry: ModelEntry, size: int) -> float:
-        """Takes a shard from the budget; returns the time to wait in s."""
+        """Consumes a shard from the budget; returns the wait in seconds."""
         if self._weight_budget is None:
             return 0.0
         return self._weight_budget.take(entry["bytes"] / size, self.clock())
@@ -219,8 +219,8 @@
         if wait_s > 0:
             self.reply_busy(wait_s)
             return
-        kept = tuple(record.copy() for record in records)
-        offsets = self.standin.append(unquote(name), kept)
+        copies = tuple(record.copy() for record in records)
+        offsets = self.standin.append(unquote(name), copies)
         await self.reply_after_effect(200, {"offsets": offsets})
 
     async def get(self, name: str) -> None:
@@ -245,7 +245,7 @@
     _decoder = msgspec.json.Decoder(TrimOrder)
 
     async def prepare(self) -> None:
-        """Shows no fault."""
+        """Injects no fault."""
 
     def post(self) -> None:
         order = self.decode(self._decoder)
--- a/chervilrock/standin/process.py
+++ b/chervilrock/standin/process.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes of their own."""
+"""Runs stand-ins as separate processes."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -41,7 +41,7 @@
     models: Mapping[str, ModelEntry],
     announce: Announce,
 ) -> None:
-    """Runs the platform until a signal to stop.
+    """Runs the platform until SIGINT or SIGTERM.
 
     Args:
       listen: where to listen.
@@ -61,16 +61,15 @@
     platform: str,
     announce: Announce,
 ) -> None:
-    """Runs the engines of some hosts until a signal to stop.
+    """Runs the engines of some hosts until SIGINT or SIGTERM.
 
-    The engines of a group have to run in one process, since they notice the
-    loss of each other by a registry in memory.
+    The engines of a group must run in one process, because they detect the
+    loss of each other through a registry in memory.
 
     Args:
-      hosts: hosts; the address of each says where to listen, and its port may
-        be 0.
+      hosts: hosts; each listens on its address, whose port may be 0.
       options: speed, sizes and lags; host and checks_fence come from `hosts`.
-      platform: IP:port of a platform stand-in whose host list takes the
+      platform: IP:port of a platform stand-in whose host list gets the
         hosts, empty for none.
       announce: called with IP:port of each engine once it listens.
     """
@@ -78,10 +77,10 @@
     engines = []
     entries = []
     for entry in hosts:
-        own = options._replace(
+        engine_options = options._replace(
             host=entry["host"], checks_fence=entry["checks_fence"]
         )
-        engine = EngineStandIn(options=own, fabric=fabric)
+        engine = EngineStandIn(options=engine_options, fabric=fabric)
         listen = parse_listen(entry["address"])
         address = await engine.start(address=listen.address, port=listen.port)
         announce(address)
@@ -98,13 +97,13 @@
     platform: str,
     announce: Announce,
 ) -> None:
-    """Runs a backend server of a plain service until a signal to stop.
+    """Runs a backend server of a plain service until SIGINT or SIGTERM.
 
     Args:
-      entry: service and data centre; the address says where to listen, and
-        its port may be 0.
+      entry: service and data centre; it listens on the address,
+        whose port may be 0.
       options: name and latency.
-      platform: IP:port of a platform stand-in whose host list takes the
+      platform: IP:port of a platform stand-in whose host list gets the
         backend server, empty for none.
       announce: called with IP:port once it listens.
     """
@@ -112,8 +111,8 @@
     listen = parse_listen(entry["address"])
     address = await standin.start(address=listen.address, port=listen.port)
     announce(address)
-    own = ServiceEntry(**{**entry, "address": address})
-    await _register(platform, (), (own,))
+    registered_entry = ServiceEntry(**{**entry, "address": address})
+    await _register(platform, (), (registered_entry,))
     await _run_until_signal((standin,))
 
 
@@ -132,7 +131,7 @@
     hosts: tuple[HostEntry, ...],
     services: tuple[ServiceEntry, ...],
 ) -> None:
-    """Enters backend servers into the host list, as soon as it is there."""
+    """Adds backend servers to the host list; retries until it succeeds."""
     if not platform:
         return
     body = msgspec.json.encode(
--- a/chervilrock/standin/server.py
+++ b/chervilrock/standin/server.py
@@ -1,4 +1,4 @@
-"""HTTP server that all stand-ins share."""
+"""HTTP server base of all stand-ins."""
 
 import abc
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class _Server(HTTPServer):
-    """HTTP server that knows its open connections."""
+    """HTTP server that tracks its open connections."""
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
         super().initialize(*args, **kwargs)
@@ -53,18 +53,18 @@
     """A stand-in that listens on a TCP port of the running event loop.
 
     Attributes:
-      faults: faults that it shows.
+      faults: faults that it injects.
       executions: how often each request identifier took effect.
       address: IP:port of the last start.
       starts: number of starts so far.
-      arrivals: number of requests that arrived, run or not.
+      arrivals: number of requests that arrived, whether or not they ran.
     """
 
     def __init__(self, *, faults: Faults | None = None) -> None:
-        """Makes a stand-in that does not listen yet.
+        """Creates a stand-in that does not listen yet.
 
         Args:
-          faults: faults to show, none when missing.
+          faults: faults to inject, none when missing.
         """
         self.faults = faults or Faults()
         self.executions: Counter[str] = Counter()
@@ -83,10 +83,10 @@
 
     @abc.abstractmethod
     def _list_routes(self) -> list[Route]:
-        """Returns the paths and their handlers."""
+        """Returns the path patterns and their handlers."""
 
     async def start(self, *, address: str = "127.0.0.1", port: int = 0) -> str:
-        """Begins to listen.
+        """Starts listening.
 
         Args:
           address: IP address to listen on.
@@ -96,7 +96,7 @@
           The address as IP:port.
 
         Raises:
-          RuntimeError: It listens already.
+          RuntimeError: The stand-in is already listening.
           OSError: The port is not free.
         """
         if self._server is not None:
@@ -123,11 +123,11 @@
 
     @abc.abstractmethod
     def _begin(self) -> None:
-        """Resets what a new process would not know."""
+        """Resets the state that a new process would not have."""
 
     @abc.abstractmethod
     def _end(self) -> None:
-        """Stops tasks and wakes all waiters, once it does not listen."""
+        """Stops tasks and wakes all waiters after listening has stopped."""
 
     def kill(self) -> None:
         """Closes the listening socket and all connections at once."""
@@ -141,14 +141,14 @@
         self._end()
 
     async def stop(self) -> None:
-        """Does the same as `kill` and waits until its handlers have ended."""
+        """Stops like `kill`, then waits until the handlers have ended."""
         server = self._server
         self.kill()
         if server is not None:
             await server.close_all_connections()
 
     def count_request(self, connection: object) -> int:
-        """Counts a request; returns how many its connection has had."""
+        """Counts a request; returns the number of its connection's requests."""
         self.arrivals += 1
         count = self._request_counts.get(connection, 0) + 1
         self._request_counts[connection] = count
@@ -156,27 +156,27 @@
 
 
 class StandInHandler(RequestHandler):
-    """Handler that shows the faults of its stand-in."""
+    """Handler that injects the faults of its stand-in."""
 
     def initialize(self, standin: Any) -> None:
-        """Takes the stand-in from the route."""
+        """Receives the stand-in from the route arguments."""
         self.standin = standin
         self.request_count = 0
         self._generation = standin.starts
 
     @property
     def orphaned(self) -> bool:
-        """Whether the stand-in that took the request was killed since."""
+        """Whether the stand-in was killed after it received the request."""
         standin: StandIn = self.standin
         return not standin.alive or standin.starts != self._generation
 
     def strike(self, kind: FaultKind) -> FaultRule | None:
-        """Decides whether a fault strikes this request."""
+        """Decides whether a fault applies to this request."""
         faults: Faults = self.standin.faults
         return faults.strike(kind, self.request.path, self.request.method or "")
 
     async def prepare(self) -> None:
-        """Shows the faults that come before the effect."""
+        """Injects the faults that precede the effect."""
         self.request_count = self.standin.count_request(
             self.request.server_connection
         )
@@ -190,13 +190,13 @@
             self.refuse("refused")
 
     async def wait_fault(self, kind: FaultKind) -> None:
-        """Waits when a fault with a delay strikes."""
+        """Waits if a fault with a delay applies."""
         rule = self.strike(kind)
         if rule is not None:
             await asyncio.sleep(rule.get("delay_ms", 0) / _MS_PER_S)
 
     def refuse(self, code: str, status: int = STATUS_UNAVAILABLE) -> None:
-        """Answers with a proof that nothing ran."""
+        """Rejects the request with X-Not-Run, the proof that nothing ran."""
         self.set_header(NOT_RUN_HEADER, "true")
         self.set_header("Retry-After", _REFUSE_RETRY_AFTER_S)
         self.reply(status, {"error": {"code": code}})
@@ -216,7 +216,7 @@
         return self.strike(FaultKind.CLOSE_REUSED) is not None
 
     async def reply_after_effect(self, status: int, body: object) -> None:
-        """Sends a body as JSON, after the faults that follow the effect."""
+        """Sends a body as JSON, after injecting the faults after the effect."""
         await self.wait_fault(FaultKind.ANSWER_LATE)
         await self.standin.faults.wait_resumed()
         if self.orphaned or self.loses_answer():
@@ -225,7 +225,7 @@
             self.reply(status, body)
 
     def cut(self) -> None:
-        """Closes the connection without any more bytes."""
+        """Closes the connection without sending anything more."""
         if not self._finished:
             self.detach().close()
 
@@ -246,7 +246,7 @@
         return int(value) if value.isdecimal() else default
 
     async def send(self, chunk: bytes) -> bool:
-        """Sends a part of the answer; False when the connection is gone."""
+        """Sends part of the answer; returns False if the connection closed."""
         try:
             self.write(chunk)
             await self.flush()
@@ -255,23 +255,23 @@
         return True
 
     def data_received(self, chunk: bytes) -> None:
-        """Is never called, since bodies are read whole."""
+        """Never called, because Tornado buffers whole request bodies."""
 
 
 class FaultsHandler(StandInHandler):
-    """Sets faults; works also while the stand-in is frozen or out."""
+    """Sets faults; also works while the stand-in is frozen or in outage."""
 
     _decoder = msgspec.json.Decoder(FaultOrder)
 
     async def prepare(self) -> None:
-        """Shows no fault."""
+        """Injects no fault."""
 
     def get(self) -> None:
-        """Answers the rules in force."""
+        """Sends the active rules."""
         self.reply(200, self.standin.faults.list_rules())
 
     def post(self) -> None:
-        """Applies an order."""
+        """Applies an order and sends the active rules."""
         order = self.decode(self._decoder)
         if order is not None:
             self.standin.faults.apply(order)
@@ -279,11 +279,11 @@
 
 
 class ExecutionsHandler(StandInHandler):
-    """Tells how often each request took effect."""
+    """Reports how often each request took effect."""
 
     async def prepare(self) -> None:
-        """Shows no fault."""
+        """Injects no fault."""
 
     def get(self) -> None:
-        """Answers the counts."""
+        """Sends the counts."""
         self.reply(200, self.standin.executions)
--- a/chervilrock/standin/service.py
+++ b/chervilrock/standin/service.py
@@ -19,8 +19,8 @@
     """Options of a service stand-in.
 
     Attributes:
-      server: name that it shows in its answers.
-      latency_ms: time of each call.
+      server: server name in its answers.
+      latency_ms: time that each call takes.
     """
 
     server: str = "server-1"
@@ -44,11 +44,11 @@
         options: ServiceOptions | None = None,
         faults: Faults | None = None,
     ) -> None:
-        """Makes a backend server that does not listen yet.
+        """Creates a backend server that does not listen yet.
 
         Args:
           options: name and latency.
-          faults: faults to show.
+          faults: faults to inject.
         """
         super().__init__(faults=faults)
         self.options = options or ServiceOptions()
--- a/chervilrock/standin/shards.py
+++ b/chervilrock/standin/shards.py
@@ -1,4 +1,4 @@
-"""Orders of the engine stand-in: which shard it holds."""
+"""Loading and unloading of the shard of an engine stand-in."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,9 +22,9 @@
     """The shard of one engine, with its phase and fencing number.
 
     Attributes:
-      phase: what the engine holds.
-      shard: shard that it holds or loads, None when empty.
-      fence: greatest fencing number seen.
+      phase: loading phase of the engine.
+      shard: shard that it holds, loads or unloads, None when empty.
+      fence: highest fencing number received.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         weight_store: str,
         break_streams: Callable[[], None],
     ) -> None:
-        """Makes an empty holder.
+        """Creates an empty holder.
 
         Args:
           member: engine that holds the shard.
-          fabric: registry of the group; without it each group is whole.
+          fabric: registry of the group; without it every group counts as whole.
           load_s: time to load a shard in seconds.
           unload_s: time to unload a shard in seconds.
           weight_store: IP:port to fetch shards from, empty for none.
@@ -59,11 +59,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def take_order(self, order: EngineOrder, *, ignore_fence: bool) -> bool:
-        """Begins what an order asks for.
+        """Starts to carry out an order.
 
         Args:
           order: the order.
-          ignore_fence: whether to take an old fencing number.
+          ignore_fence: whether to accept an old fencing number.
 
         Returns:
           False when the fencing number is old.
@@ -79,7 +79,7 @@
         return True
 
     def check_group(self) -> GroupCondition:
-        """Checks whether the group of the shard is whole."""
+        """Returns the condition of the group of the shard."""
         if self.shard is None or self.phase is not EnginePhase.READY:
             return GroupCondition.BROKEN
         if self._fabric is None:
@@ -87,12 +87,12 @@
         return self._fabric.check_group(self.shard)
 
     async def wait_resumed(self) -> None:
-        """Waits while a host of the group is paused."""
+        """Waits while any host of the group is paused."""
         if self._fabric is not None and self.shard is not None:
             await self._fabric.wait_resumed(self.shard)
 
     def lose(self) -> None:
-        """Loses the shard at once, as the death of the host does."""
+        """Drops the shard immediately, as a host failure does."""
         self._stop_task()
         self._leave()
         self.phase = EnginePhase.EMPTY
@@ -111,11 +111,13 @@
             self._fabric.enter(self._member, self.shard)
 
     def _load(self, shard: EngineShard) -> None:
-        kept = self.shard is not None and _match_weights(self.shard, shard)
-        if kept and self.phase is EnginePhase.LOADING:
+        same_weights = self.shard is not None and _has_same_weights(
+            self.shard, shard
+        )
+        if same_weights and self.phase is EnginePhase.LOADING:
             self.shard = shard
             return
-        ready = kept and self.phase is EnginePhase.READY
+        ready = same_weights and self.phase is EnginePhase.READY
         self._stop_task()
         self._leave()
         self.shard = shard
@@ -168,7 +170,7 @@
 
 
 async def _try_fetch(http: HttpClient, url: str) -> float | None:
-    """Fetches a shard; returns the time to wait in s, None when done."""
+    """Fetches a shard; returns None if done, else the retry delay in s."""
     result = await http.request("GET", url, timeout_s=_FETCH_TIMEOUT_S)
     if not isinstance(result, Success):
         return _FETCH_RETRY_S
@@ -178,10 +180,10 @@
     return max(_FETCH_RETRY_S, answer.retry_after_s)
 
 
-def _match_weights(held: EngineShard, wanted: EngineShard) -> bool:
+def _has_same_weights(current: EngineShard, wanted: EngineShard) -> bool:
     return (
-        held["model"] == wanted["model"]
-        and held["version"] == wanted["version"]
-        and held["rank"] == wanted["rank"]
-        and held["size"] == wanted["size"]
+        current["model"] == wanted["model"]
+        and current["version"] == wanted["version"]
+        and current["rank"] == wanted["rank"]
+        and current["size"] == wanted["size"]
     )
--- a/chervilrock/standin/text.py
+++ b/chervilrock/standin/text.py
@@ -59,7 +59,7 @@
 
     Args:
       digest: result of `hash_request`.
-      index: place of the token from 0; token 0 shows the whole digest.
+      index: index of the token from 0; token 0 is the whole digest.
     """
     if index == 0:
         return f"{digest:016x}"
@@ -74,8 +74,9 @@
 ) -> tuple[str, ...]:
     """Returns the tokens of the whole answer to a request.
 
-    Answers to two requests differ unless model and prompt are the same, and a
-    lost, doubled or misplaced token shows, since each carries its place.
+    Answers to two requests differ unless model and prompt are the same. A
+    lost, duplicated or reordered token is detectable, because each token
+    contains its index.
 
     Args:
       model: model as the caller names it, with the adapter.
@@ -87,7 +88,7 @@
 
 
 def list_prefix_blocks(model: str, prompt: str) -> tuple[str, ...]:
-    """Returns the hashes of the whole prefix blocks of a prompt, in order."""
+    """Returns the hashes of the full prefix blocks of a prompt, in order."""
     digest = hashlib.blake2b(f"{model}\0".encode(), digest_size=_DIGEST_BYTES)
     blocks = []
     for end in range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS):
