--- a/chervilrock/catalogue.py
+++ b/chervilrock/catalogue.py
@@ -15,10 +15,10 @@
 
 
 class EventSpec(NamedTuple):
-    """What is fixed about an event.
+    """The fixed properties of an event.
 
     Attributes:
-      number: stable number; it is never used for another event
+      number: stable number; it is never reused for another event
       level: severity
       template: a sentence whose placeholders are the fields of the event
     """
@@ -29,7 +29,7 @@
 
 
 def list_placeholders(template: str) -> list[str]:
-    """Returns the names of the placeholders of a template, in its order."""
+    """Returns the names of the placeholders of a template, in order."""
     parts = string.Formatter().parse(template)
     return [name for _, name, _, _ in parts if name]
 
@@ -37,7 +37,7 @@
 class Event(enum.Enum):
     """The events, ordered by number.
 
-    The first digit tells the area: 1 node, 2 log service, 3 configuration,
+    The first digit stands for the area: 1 node, 2 log service, 3 configuration,
     4 groups and hosts, 5 requests, 6 peers, 7 serving on the platform,
     9 logging itself.
 
@@ -50,15 +50,18 @@
     NODE_READY = EventSpec(
         1002,
         Level.INFO,
-        "node {node} takes requests with configuration revision {revision}",
+        "node {node} accepts requests with configuration revision {revision}",
     )
     NODE_LEAVING = EventSpec(
         1003,
         Level.INFO,
-        "node {node} takes no new callers; {in_flight} requests in flight",
+        "node {node} is leaving and accepts no new callers; {in_flight} "
+        "requests in flight",
     )
     NODE_STOPPED = EventSpec(
-        1004, Level.INFO, "node {node} stopped; {in_flight} requests were cut"
+        1004,
+        Level.INFO,
+        "node {node} stopped; {in_flight} requests were aborted",
     )
     SETTING_REFUSED = EventSpec(
         1005, Level.ERROR, "setting {setting}: {reason}"
@@ -68,17 +71,19 @@
         2001, Level.ERROR, "log stream {stream} cannot be reached: {reason}"
     )
     LOG_OUTAGE_ENDED = EventSpec(
-        2002, Level.INFO, "log stream {stream} is back after {seconds} s"
+        2002, Level.INFO, "log stream {stream} recovered after {seconds} s"
     )
     LOG_TRIMMED = EventSpec(
         2003,
         Level.WARNING,
-        "log stream {stream} starts at {first_offset}; {wanted} was wanted",
+        "log stream {stream} was trimmed: it starts at offset {first_offset}; "
+        "offset {wanted} was requested",
     )
     SNAPSHOT_WRITTEN = EventSpec(
         2004,
         Level.INFO,
-        "snapshot {snapshot} of stream {stream} holds all up to {upto}",
+        "snapshot {snapshot} of stream {stream} covers the records up to "
+        "offset {upto}",
     )
     CONFIGURATION_IN_FORCE = EventSpec(
         3001,
@@ -88,10 +93,11 @@
     CONFIGURATION_LOST = EventSpec(
         3002,
         Level.WARNING,
-        "configuration of {operator} on base {base_revision} lost to {winner}",
+        "configuration of {operator} rejected: base revision {base_revision} "
+        "is outdated; the one in force is from {winner}",
     )
     LEASE_ACQUIRED = EventSpec(
-        4001, Level.INFO, "controller lease of {region} held, epoch {epoch}"
+        4001, Level.INFO, "controller lease of {region} acquired, epoch {epoch}"
     )
     LEASE_LOST = EventSpec(
         4002,
@@ -99,27 +105,30 @@
         "controller lease of {region} lost, epoch {epoch}: {reason}",
     )
     LEASE_RELEASED = EventSpec(
-        4003, Level.INFO, "controller lease of {region} given up, epoch {epoch}"
+        4003, Level.INFO, "controller lease of {region} released, epoch {epoch}"
     )
     GROUP_GRANTED = EventSpec(
         4101,
         Level.INFO,
-        "group {group} of model {model} gets {hosts}, fence {fence}",
+        "group {group} of model {model} was granted hosts {hosts}, fence "
+        "{fence}",
     )
     GROUP_REPAIRED = EventSpec(
-        4102, Level.WARNING, "group {group} now has {hosts}, fence {fence}"
+        4102,
+        Level.WARNING,
+        "group {group} repaired, now on hosts {hosts}, fence {fence}",
     )
     GROUP_SERVING = EventSpec(
         4103, Level.INFO, "group {group} serves, fence {fence}"
     )
     GROUP_DRAINING = EventSpec(
-        4104, Level.INFO, "group {group} takes no new requests: {reason}"
+        4104, Level.INFO, "group {group} accepts no new requests: {reason}"
     )
     GROUP_DISSOLVED = EventSpec(4105, Level.INFO, "group {group} is dissolved")
     HOST_MISSING = EventSpec(
         4201,
         Level.WARNING,
-        "host {host} of group {group} gave no evidence for {age_ms} ms",
+        "host {host} of group {group} has not been observed for {age_ms} ms",
     )
     HOST_RETURNED = EventSpec(
         4202, Level.INFO, "host {host} of group {group} is present again"
@@ -127,20 +136,24 @@
     HOST_QUARANTINED = EventSpec(
         4203,
         Level.WARNING,
-        "host {host} may still hold a shard of fence {fence}: {reason}",
+        "host {host} is quarantined as it may still hold a shard of fence "
+        "{fence}: {reason}",
     )
     HOST_CLEARED = EventSpec(
-        4204, Level.INFO, "host {host} holds nothing of fence {fence}"
+        4204,
+        Level.INFO,
+        "host {host} is out of quarantine and holds no shard of fence {fence}",
     )
     ORDER_REFUSED = EventSpec(
         4205,
         Level.WARNING,
-        "host {host} refused an order of fence {fence}; it saw {seen}",
+        "host {host} rejected an order with fence {fence}; it has seen {seen}",
     )
     REQUEST_UNKNOWN = EventSpec(
         5001,
         Level.WARNING,
-        "request {request_id} to {target} may have run: {reason}",
+        "outcome of request {request_id} to {target} is unknown, it may have "
+        "run: {reason}",
     )
     REQUEST_REJECTED = EventSpec(
         5002,
@@ -150,15 +163,19 @@
     STREAM_BROKEN = EventSpec(
         5003,
         Level.WARNING,
-        "stream {request_id} from {group} broke at {position}: {reason}",
+        "stream {request_id} from group {group} broke at position {position}: "
+        "{reason}",
     )
     STREAM_RESUMED = EventSpec(
-        5004, Level.INFO, "stream {request_id} resumed on {group} at {position}"
+        5004,
+        Level.INFO,
+        "stream {request_id} resumed on group {group} at position {position}",
     )
     STREAM_CONTINUED = EventSpec(
         5005,
         Level.INFO,
-        "stream {request_id} goes on at group {group} after {position}",
+        "stream {request_id} continued on group {group} after position "
+        "{position}",
     )
     PEER_LOST = EventSpec(
         6001, Level.WARNING, "peer {node} at {address} does not answer"
@@ -169,18 +186,21 @@
     SERVING_STARTED = EventSpec(
         7001,
         Level.INFO,
-        "node {node} ({incarnation}) takes callers at {address}, store {store}",
+        "node {node} ({incarnation}) serves callers at {address}, store "
+        "{store}",
     )
     SERVING_STOPPING = EventSpec(
-        7002, Level.INFO, "node {node} stops; {running} requests under way"
+        7002,
+        Level.INFO,
+        "node {node} is stopping; {running} requests in progress",
     )
     SERVING_STOPPED = EventSpec(
         7003,
         Level.INFO,
-        "node {node} stopped after {seconds} s; {cut} requests were cut",
+        "node {node} stopped after {seconds} s; {cut} requests were aborted",
     )
     SETTINGS_RELOADED = EventSpec(
-        7004, Level.INFO, "node {node} was told that its settings changed"
+        7004, Level.INFO, "node {node} was notified of changed settings"
     )
     DEPENDENCY_LOST = EventSpec(
         7005, Level.ERROR, "{dependency} does not answer: {reason}"
@@ -189,16 +209,18 @@
         7006, Level.INFO, "{dependency} answers again after {seconds} s"
     )
     NODE_REGISTERED = EventSpec(
-        7007, Level.INFO, "node {node} is registered by record {offset}"
+        7007,
+        Level.INFO,
+        "node {node} is registered with the record at offset {offset}",
     )
     READS_RENEWED = EventSpec(
-        7008, Level.INFO, "reads of the store begin anew: {reason}"
+        7008, Level.INFO, "restarting reads of the store: {reason}"
     )
     STORE_RESTORED = EventSpec(
         7009,
         Level.WARNING,
-        "the store came back from a copy: era {era} after {former}; nodes "
-        "read all anew and write again what is gone",
+        "the store was restored from a backup: era {era} after {former}; "
+        "nodes read everything again and rewrite lost records",
     )
     REVISION_IN_FORCE = EventSpec(
         7101,
@@ -215,20 +237,25 @@
     VIEW_IN_FORCE = EventSpec(
         7104,
         Level.INFO,
-        "view {term}.{sequence}: {groups} groups, {servers} servers",
+        "view {term}.{sequence} in force: {groups} groups, {servers} servers",
     )
     LEADER_CHANGED = EventSpec(
         7201, Level.INFO, "{leader} leads in term {term} (this node: {own})"
     )
     LEADER_STEPPED_DOWN = EventSpec(
-        7202, Level.WARNING, "this node leads no more, term {term}: {reason}"
+        7202,
+        Level.WARNING,
+        "this node stepped down as leader, term {term}: {reason}",
     )
-    NODE_SEEN = EventSpec(7203, Level.INFO, "node {node} answers")
+    NODE_SEEN = EventSpec(7203, Level.INFO, "node {node} answers announcements")
     PEER_UNREACHABLE = EventSpec(
         7204, Level.WARNING, "{address} cannot be reached: {reason}"
     )
     RELAY_CHOSEN = EventSpec(
-        7205, Level.INFO, "{node} relays to the nodes of {data_centre}"
+        7205,
+        Level.INFO,
+        "node {node} is chosen as a relay for the nodes of data centre "
+        "{data_centre}",
     )
     GROUP_CHANGED = EventSpec(
         7301, Level.INFO, "group {group} of {members}: {step} ({reason})"
@@ -236,25 +263,31 @@
     ORDER_ANSWERED = EventSpec(
         7302,
         Level.INFO,
-        "server {server} to {order} of {group}, epoch {epoch}: {outcome}",
+        "server {server}, {order} order for group {group}, epoch {epoch}: "
+        "{outcome}",
     )
     SERVER_GONE = EventSpec(
-        7303, Level.INFO, "the entry of server {server} is gone"
+        7303,
+        Level.INFO,
+        "server {server} removed: its entry is gone from the store",
     )
     GROUP_SILENT = EventSpec(
         7304,
         Level.WARNING,
-        "group {group} at {server} made no event within {limit_ms} ms: "
-        "{moved} of {streams} streams go on elsewhere",
+        "group {group} at {server} has stalled, no event within {limit_ms} "
+        "ms: {moved} of {streams} streams continue at other groups",
     )
     STAGING_ANSWERED = EventSpec(
-        7305, Level.INFO, "server {server} to stage {model}: {outcome}"
+        7305,
+        Level.INFO,
+        "server {server}, order to stage model {model}: {outcome}",
     )
     HOSTS_COUNTED = EventSpec(
         7306,
         Level.INFO,
-        "model {model} of {service}: {groups} groups of {needed} that it "
-        "needs (short: {is_short}); hosts {hosts}; by place {places}",
+        "model {model} of {service}: {groups} groups of {needed} needed "
+        "(short of capacity: {is_short}); hosts {hosts}; by data centre "
+        "{places}",
     )
     GROUP_FAILING = EventSpec(
         7307,
@@ -264,62 +297,64 @@
     LIMIT_NAMED = EventSpec(
         7308,
         Level.WARNING,
-        "server {server} names a limit of {rate} requests a second from all "
-        "nodes",
+        "server {server} states a limit of {rate} requests per second from "
+        "all nodes together",
     )
     LIMIT_ENDED = EventSpec(
-        7309, Level.INFO, "server {server} names no limit any more"
+        7309, Level.INFO, "server {server} no longer states a limit"
     )
     LIMIT_UNREADABLE = EventSpec(
         7310,
         Level.WARNING,
-        "server {server} names the limit {value}, which is no number and "
-        "changes nothing",
+        "server {server} states the limit {value}, which is not a number and "
+        "is ignored",
     )
     LIMIT_TOLD = EventSpec(
         7311,
         Level.INFO,
-        "the leader tells all nodes the limit {rate} of server {server}",
+        "the leader announces the limit {rate} of server {server} to all nodes",
     )
     REQUEST_SENT = EventSpec(
         7401,
         Level.INFO,
-        "request {request_id} on {route} goes to {endpoint} ({server}) after "
-        "event {after}; there: {own} own, {others} others; view {view} of "
-        "{view_age_ms} ms",
+        "request {request_id} on {route} sent to {endpoint} ({server}) after "
+        "event {after}; load there: {own} from this node, {others} from "
+        "others; view {view}, {view_age_ms} ms old",
     )
     REQUEST_SENT_AGAIN = EventSpec(
         7402,
         Level.INFO,
-        "request {request_id} is sent again after {sends} sends, behind event "
-        "{after}: {reason}; {left} more repeats to its service are left here, "
-        "as one of {nodes} nodes",
+        "request {request_id} is retried after {sends} sends and event "
+        "{after}: {reason}; {left} retries to its service are left to this "
+        "node, one of {nodes} nodes",
     )
     REQUEST_ENDED = EventSpec(
         7403,
         Level.INFO,
-        "request {request_id} on {route} of {workspace} ended with {status} "
-        "after {total_ms} ms ({reason}): {sends} sends, waited {waited_ms} ms, "
-        "first event {first_event_ms} ms, revision {revision}",
+        "request {request_id} on {route} of workspace {workspace} ended with "
+        "status {status} after {total_ms} ms ({reason}): {sends} sends, "
+        "waited {waited_ms} ms, first event after {first_event_ms} ms, "
+        "revision {revision}",
     )
     SEND_BROKEN = EventSpec(
         7404,
         Level.INFO,
         "the connection of request {request_id} with content {content} to "
-        "{server} broke {ran_ms} ms after the head of the answer with status "
-        "{status}: {error}",
+        "server {server} broke {ran_ms} ms after the start of the response "
+        "with status {status}: {error}",
     )
     SERVER_ENDED = EventSpec(
         7405,
         Level.INFO,
-        "server {server} ended under content {content}, {served_ms} ms after "
-        "the head of its answer, {sent_ms} ms after the send",
+        "server {server} crashed while processing content {content}, "
+        "{served_ms} ms after the start of its response, {sent_ms} ms after "
+        "the send",
     )
     CONTENT_WITHHELD = EventSpec(
         7406,
         Level.WARNING,
-        "requests with content {content} are withheld: servers {servers} ended "
-        "under it, as seen by {nodes}",
+        "requests with content {content} are withheld: servers {servers} "
+        "crashed while processing it, as observed by nodes {nodes}",
     )
     CONTENT_RELEASED = EventSpec(
         7407,
@@ -330,23 +365,23 @@
         7408,
         Level.INFO,
         "request {request_id} is withheld with content {content}: servers "
-        "{servers} ended under it, as seen by {nodes}",
+        "{servers} crashed while processing it, as observed by nodes {nodes}",
     )
     REPEAT_REFUSED = EventSpec(
         7409,
         Level.INFO,
-        "request {request_id} is not sent again ({reason}): {left} repeats to "
-        "{service} are left here, as one of {nodes} nodes",
+        "request {request_id} is not retried ({reason}): {left} retries to "
+        "{service} are left to this node, one of {nodes} nodes",
     )
     EVENT_MALFORMED = EventSpec(
         9001, Level.ERROR, "event {event_name} has wrong fields: {difference}"
     )
     LIBRARY_MESSAGE = EventSpec(
-        9002, Level.WARNING, "library {library} says: {text}"
+        9002, Level.WARNING, "message of library {library}: {text}"
     )
 
     def __init__(self, number: int, level: Level, template: str) -> None:
-        """Computes what `emit` needs so that a call stays cheap."""
+        """Computes title and fields once, to keep calls of `emit` cheap."""
         self.number = number
         self.level = level
         self.template = template
--- a/test/test_events.py
+++ b/test/test_events.py
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def sink() -> Iterator[io.StringIO]:
-    """A sink; the logging of the test process is put back afterwards."""
+    """A sink; the logging of the test process is restored afterwards."""
     handlers = logging.root.handlers[:]
     yield io.StringIO()
     logger.remove()
@@ -59,7 +59,7 @@
 
 
 def find_uses(tree: ast.AST, source: str) -> list[Use]:
-    """Returns the uses in a module; with fields where it calls `emit`."""
+    """Returns the uses in a module, with fields for calls of `emit`."""
     found = []
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute) and names_event(node):
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("fields", [{}, {"group": "g", "other": 1}])
-def test_wrong_fields_are_refused(fields: dict[str, Any]) -> None:
+def test_wrong_fields_are_rejected(fields: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="group-dissolved has wrong fields"):
         events.emit(Event.GROUP_DISSOLVED, **fields)
 
@@ -181,7 +181,7 @@
     ("log_format", "level", "error"),
     [("xml", "INFO", ValueError), ("text", "LOUD", KeyError)],
 )
-def test_unknown_format_and_level_are_refused(
+def test_unknown_format_and_level_are_rejected(
     sink: io.StringIO, log_format: str, level: str, error: type[Exception]
 ) -> None:
     with pytest.raises(error):
@@ -193,7 +193,7 @@
     assert_that(numbers, Equals(sorted(set(numbers))))
 
 
-def test_fields_do_not_hide_what_every_line_has() -> None:
+def test_fields_do_not_shadow_reserved_keys() -> None:
     reserved = {"time", "level", "number", "event", "message"}
     clashes = [e.name for e in Event if reserved & e.fields]
     assert_that(clashes, HasLength(0))
--- a/test/test_logsink.py
+++ b/test/test_logsink.py
@@ -1,4 +1,4 @@
-"""Log output that is bounded and never waits."""
+"""Tests of the non-blocking, rate-limited log output."""
 
 from collections.abc import Iterator
 import os
@@ -24,10 +24,10 @@
 
 @pytest.fixture
 def pipe() -> Iterator[Pipe]:
-    """A pipe that nobody reads."""
-    made = Pipe()
-    yield made
-    made.close()
+    """A pipe without a running reader."""
+    created = Pipe()
+    yield created
+    created.close()
 
 
 def test_lines_are_written(pipe: Pipe) -> None:
@@ -38,7 +38,7 @@
     assert_that(output.dropped, Equals(0))
 
 
-def test_a_reader_that_does_not_read_makes_nobody_wait(pipe: Pipe) -> None:
+def test_a_stalled_reader_does_not_block_writes(pipe: Pipe) -> None:
     output = BoundedOutput(descriptor=pipe.writer)
     line = "x" * 999 + "\n"
     for _ in range(500):
@@ -46,14 +46,14 @@
     assert_that(output.dropped, GreaterThan(0))
 
 
-def test_lines_beyond_the_bound_are_dropped_and_counted(pipe: Pipe) -> None:
+def test_lines_over_the_rate_limit_are_dropped_and_counted(pipe: Pipe) -> None:
     output = BoundedOutput(descriptor=pipe.writer)
     written = sum(1 for _ in range(6000) if output.write("x"))
     assert_that(written, LessThan(BURST_LINES + 500))
     assert_that(output.dropped, Equals(6000 - written))
 
 
-def test_a_reader_that_is_gone_ends_nothing(pipe: Pipe) -> None:
+def test_a_closed_reader_raises_no_error(pipe: Pipe) -> None:
     output = BoundedOutput(descriptor=pipe.writer)
     os.close(pipe.reader)
     pipe.reader = os.open(os.devnull, os.O_RDONLY)
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -21,12 +21,12 @@
 
 @pytest.fixture
 def metrics() -> Metrics:
-    """Metrics that keep two workspaces and two models apart."""
+    """Metrics with labels for at most two workspaces and two models."""
     return Metrics(max_workspaces=2, max_models=2)
 
 
 def read_sample(metrics: Metrics, name: str, **labels: str) -> float:
-    """Returns a sample as a scrape would read it."""
+    """Returns the value of a sample in the rendered metrics."""
     for family in text_string_to_metric_families(metrics.render().decode()):
         for sample in family.samples:
             if sample.name == name and sample.labels == labels:
@@ -35,7 +35,7 @@
 
 
 def count(metrics: Metrics, workspace: str, model: str) -> None:
-    """Counts one complete request of a second."""
+    """Counts one complete request with a duration of one second."""
     metrics.count_request(
         workspace=workspace,
         model=model,
@@ -64,14 +64,14 @@
 def test_values_of_labels_are_bounded(metrics: Metrics) -> None:
     for number in range(100):
         count(metrics, f"w{number}", f"m{number}")
-    rest = read_sample(
+    others = read_sample(
         metrics,
         "chervilrock_requests_total",
         workspace="other",
         model="other",
         outcome="complete",
     )
-    assert_that(rest, Equals(98.0))
+    assert_that(others, Equals(98.0))
     assert_that(metrics.render().decode(), Not(Contains('"w2"')))
 
 
@@ -127,9 +127,9 @@
         for family in registry.collect()
     }
     named = {wrapper._name for wrapper in wrappers}
-    strangers = {n for n in registered - named if n.startswith("chervilrock")}
+    unlisted = {n for n in registered - named if n.startswith("chervilrock")}
     assert_that(documented, Equals(defined))
-    assert_that(strangers, HasLength(0))
+    assert_that(unlisted, HasLength(0))
 
 
 def describe(wrapper: MetricWrapperBase) -> tuple[str, str, tuple[str, ...]]:
