--- a/chervilrock/standin/history.py
+++ b/chervilrock/standin/history.py
@@ -1,7 +1,7 @@
-"""The history of a run: what happened, in one order.
+"""The history of a run: an ordered list of events.
 
-Callers, stand-ins and whoever causes the faults note events in one list of
-the process. `history_checks` judges the list once the run is over.
+Callers, stand-ins and the code that injects faults record events in one list
+of the process. `history_checks` checks the list after the run.
 """
 
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 
 
 class Told(enum.StrEnum):
-    """What a caller knows after a try.
+    """What a caller knows after an attempt.
 
     Attributes:
-      WHOLE: it got the whole answer to its own request
-      NOT_RUN: it was told `not_run`
-      UNKNOWN: it was told `unknown`
-      FAILED: it was told `failed`
-      REFUSED: it got no connection, so that nothing was sent
-      NOTHING: the connection broke, or the wait for it ended
-      CUT: the answer ended early and without an error
-      FOREIGN: the answer is not the one to its request
+      WHOLE: it received the complete answer to its own request
+      NOT_RUN: the answer reported `not_run`
+      UNKNOWN: the answer reported `unknown`
+      FAILED: the answer reported `failed`
+      REFUSED: it could not connect, so nothing was sent
+      NOTHING: the connection broke or the request timed out
+      CUT: the answer ended early without an error
+      FOREIGN: the answer belongs to another request
     """
 
     WHOLE = "whole"
@@ -35,13 +35,13 @@
 
 
 class Repeats(enum.StrEnum):
-    """How often an operation may run, and what its caller repeats it with.
+    """How often an operation may run, and how its caller retries it.
 
     Attributes:
       FREELY: it is idempotent
-      WITH_TICKET: it runs at most once, however often its ticket is shown
-      WITH_KEY: the same with a key that its caller chose
-      NEVER: it runs at most once, and has neither
+      WITH_TICKET: it runs at most once, however often its ticket is sent
+      WITH_KEY: the same with an idempotency key chosen by its caller
+      NEVER: it runs at most once and has neither ticket nor key
     """
 
     FREELY = "freely"
@@ -51,12 +51,12 @@
 
 
 class Sent(NamedTuple):
-    """A caller sends one try of an operation.
+    """A caller sends one attempt of an operation.
 
     Attributes:
       operation: number of the operation
-      attempt: number of the try, over all operations
-      node: address that it is sent to
+      attempt: number of the attempt, counted over all operations
+      node: address of the node to which it is sent
     """
 
     operation: int
@@ -66,10 +66,10 @@
 
 
 class Got(NamedTuple):
-    """A try of a caller ended.
+    """An attempt of a caller ended.
 
     Attributes:
-      detail: what the answer said, for a person
+      detail: human-readable content of the answer
     """
 
     operation: int
@@ -79,18 +79,18 @@
 
 
 class Ended(NamedTuple):
-    """The caller of an operation gives no further try."""
+    """The caller of an operation makes no further attempt."""
 
     operation: int
     told: Told
 
 
 class Shard(NamedTuple):
-    """The part of a replica group that a host holds ready.
+    """The part of a replica group that a host has loaded.
 
     Attributes:
       fence: fencing number of the group
-      rank: place of the host in the group
+      rank: rank of the host in the group
       size: number of hosts in the group
     """
 
@@ -101,21 +101,21 @@
 
 
 class Held(NamedTuple):
-    """A host holds a shard ready, or no shard any more."""
+    """A host has loaded a shard, or no longer has one."""
 
     host: str
     shard: Shard | None
 
 
 class Arrived(NamedTuple):
-    """A backend server takes new work into its queue.
+    """A backend server queues a new request.
 
     Attributes:
-      backend: host, or address of a server of a plain service
+      backend: host name, or address of a server of a plain service
       operation: number of the operation
-      attempt: number of the try; 0 when the request does not carry it
-      request_id: identity that a node gave the request
-      shard: what the host holds, None for a plain service
+      attempt: number of the attempt; 0 when the request does not carry it
+      request_id: identifier that a node assigned to the request
+      shard: shard of the host, None for a plain service
     """
 
     backend: str
@@ -126,7 +126,7 @@
 
 
 class Executed(NamedTuple):
-    """A backend server begins to run a request; members as in `Arrived`."""
+    """A backend server starts a request; attributes as in `Arrived`."""
 
     backend: str
     operation: int
@@ -136,44 +136,44 @@
 
 
 class Killed(NamedTuple):
-    """A host, a backend server or the node at an address is gone at once."""
+    """A host, a backend server or the node at an address is killed."""
 
     name: str
 
 
 class Frozen(NamedTuple):
-    """A host or the node at an address does nothing any more."""
+    """A host or the node at an address is suspended."""
 
     name: str
 
 
 class Resumed(NamedTuple):
-    """A host or the node at an address goes on."""
+    """A host or the node at an address resumes after a suspension."""
 
     name: str
 
 
 class Leaving(NamedTuple):
-    """The host list says that a backend server is leaving."""
+    """The host list marks a backend server as leaving."""
 
     backend: str
 
 
 class StopBegan(NamedTuple):
-    """The node at an address begins a graceful stop."""
+    """The node at an address starts a graceful stop."""
 
     node: str
 
 
 class StopEnded(NamedTuple):
-    """A graceful stop ended; `cut` requests were in progress then."""
+    """A graceful stop ended with `cut` requests still in progress."""
 
     node: str
     cut: int
 
 
 class AddressesTold(NamedTuple):
-    """A node told a caller which addresses to use."""
+    """A node announced to a caller which addresses to use."""
 
     node: str
     addresses: tuple[str, ...]
@@ -183,9 +183,10 @@
     """The log service stored a record in the stream of configurations.
 
     Attributes:
-      sequence: counts the records of the writer; a doubled one has the same
-      base: revision that it replaces, None when it is no configuration
-      operator: who applied it, empty when it is no configuration
+      sequence: number among the records of the writer; a duplicate has the
+        same number
+      base: revision that it replaces, None for other kinds of records
+      operator: who applied it, empty for other kinds of records
     """
 
     offset: int
@@ -196,12 +197,12 @@
 
 
 class ApplyTold(NamedTuple):
-    """An operator was told what became of a configuration.
+    """An operator received the outcome of applying a configuration.
 
     Attributes:
       operator: a name used for this one configuration
-      accepted: whether it was accepted, None when that is not known; not run
-        is not accepted
+      accepted: whether it was accepted, None when unknown; `not_run` counts
+        as not accepted
       revision: its revision when accepted, else the one in force
     """
 
@@ -211,27 +212,27 @@
 
 
 class RevisionSeen(NamedTuple):
-    """A node says which revision it has in force; 0 for none."""
+    """A node reports the revision that it has in force; 0 for none."""
 
     node: str
     revision: int
 
 
 class GroupsSeen(NamedTuple):
-    """A node says which groups serve, each with its hosts."""
+    """A node reports the serving groups, each with its hosts."""
 
     node: str
     groups: tuple[tuple[str, tuple[str, ...]], ...]
 
 
 class NodeStarted(NamedTuple):
-    """A node begins to listen at an address."""
+    """A node starts to listen at an address."""
 
     node: str
 
 
 class FaultsEnded(NamedTuple):
-    """No fault is caused any more."""
+    """Fault injection has ended."""
 
 
 Event = (
@@ -258,7 +259,7 @@
 
 
 class Entry(NamedTuple):
-    """An event and when it was noted, in seconds of a monotonic clock."""
+    """An event and when it was recorded, in seconds of a monotonic clock."""
 
     at: float
     event: Event
@@ -272,10 +273,10 @@
     """
 
     def __init__(self, *, clock: Callable[[], float] = time.monotonic) -> None:
-        """Start without events."""
+        """Create an empty history."""
         self._clock = clock
         self.entries: list[Entry] = []
 
     def note(self, event: Event) -> None:
-        """Add an event after the others."""
+        """Append an event."""
         self.entries.append(Entry(self._clock(), event))
--- a/chervilrock/standin/history_checks.py
+++ b/chervilrock/standin/history_checks.py
@@ -1,7 +1,7 @@
-"""Judges the history of a run against what the system promises.
+"""Checks the history of a run against the guarantees of the system.
 
-Each check is a function of the list of events alone. The checks follow the
-events with plain maps and sets and share nothing with the system.
+Each check is a function of the list of events alone. The checks use plain
+dictionaries and sets and share no code with the system.
 """
 
 from collections import Counter
@@ -35,28 +35,28 @@
 def check_history(
     entries: Entries, *, blind: bool = False
 ) -> tuple[Finding, ...]:
-    """Return everything that is wrong with a history, by place.
+    """Return all violated guarantees in a history, ordered by place.
 
     Args:
       entries: the history.
-      blind: whether the hosts of a group do not notice the loss of another;
-        then a group has a while until the nodes notice it.
+      blind: whether the hosts of a group do not detect the loss of another;
+        then requests may reach the group until the nodes detect the loss.
     """
     check_whole = history_groups.check_groups
     if blind:
         check_whole = history_groups.check_lost_groups
     checks = (*COMMON_CHECKS, check_whole)
     found = [finding for check in checks for finding in check(entries)]
-    return tuple(sorted(found, key=lambda one: one.place))
+    return tuple(sorted(found, key=lambda finding: finding.place))
 
 
 def count_events(entries: Entries) -> dict[str, int]:
-    """Return how often each kind of event happened."""
+    """Return the number of events of each kind."""
     counts = Counter(type(entry.event).__name__ for entry in entries)
     return dict(sorted(counts.items()))
 
 
 def count_told(entries: Entries) -> dict[str, int]:
-    """Return how the operations ended for their callers."""
+    """Return the number of operations by their outcome for the caller."""
     counts = Counter(ended.told.value for _, ended in pick(entries, Ended))
     return dict(sorted(counts.items()))
--- a/chervilrock/standin/history_findings.py
+++ b/chervilrock/standin/history_findings.py
@@ -1,4 +1,4 @@
-"""What the checks of a history look for and what they return."""
+"""The guarantees that the checks of a history verify, and their results."""
 
 from collections.abc import Iterable, Sequence
 import enum
@@ -10,7 +10,7 @@
 
 
 class Promise(enum.StrEnum):
-    """What must always hold."""
+    """A guarantee of the system."""
 
     WHOLE_ANSWER = "every caller gets the whole own answer or the truth"
     NOT_RUN = "what was told not run did not run"
@@ -24,11 +24,11 @@
 
 
 class Finding(NamedTuple):
-    """A promise that did not hold.
+    """A guarantee that was violated.
 
     Attributes:
-      place: number of the event that shows it, from 0
-      message: what happened
+      place: index of the event that shows it, from 0
+      message: human-readable description of the violation
     """
 
     promise: Promise
@@ -41,7 +41,7 @@
 
 
 def pick(entries: Entries, kind: type[_T]) -> Iterable[tuple[int, _T]]:
-    """Yield the events of one kind with their places."""
+    """Yield the events of one kind with their indices."""
     for place, entry in enumerate(entries):
         if isinstance(entry.event, kind):
             yield place, entry.event
--- a/chervilrock/standin/history_groups.py
+++ b/chervilrock/standin/history_groups.py
@@ -1,4 +1,4 @@
-"""Checks of where requests ran against what each host held."""
+"""Checks of where requests ran against the shards of each host."""
 
 from collections import Counter
 
@@ -19,44 +19,44 @@
 )
 
 LEAVING_S = 3.0
-"""Time after which a leaving backend server gets no new work."""
+"""Time after which a leaving backend server receives no new requests."""
 
 GONE_S = 3.0
-"""Time after which a group without one of its hosts gets no new work, also
-when its own hosts do not notice the loss."""
+"""Time after which a group that lost a host receives no new requests, even
+when its remaining hosts do not detect the loss."""
 
 
-class _Hosts:
-    """What each host holds, and since when a group lacks one of its ranks."""
+class _ShardTracker:
+    """Tracks the shard of each host and when a group lost a rank."""
 
     def __init__(self) -> None:
-        self.held: dict[str, Shard] = {}
+        self.shards: dict[str, Shard] = {}
         self._lost: dict[tuple[str, int, int], float] = {}
 
-    def take(self, held: Held, at: float) -> None:
-        before = self.held.pop(held.host, None)
+    def apply(self, held: Held, at: float) -> None:
+        before = self.shards.pop(held.host, None)
         if before is not None:
             self._lost[before.group, before.fence, before.rank] = at
         if held.shard is not None:
             shard = held.shard
-            self.held[held.host] = shard
+            self.shards[held.host] = shard
             self._lost.pop((shard.group, shard.fence, shard.rank), None)
 
     def list_members(self, shard: Shard) -> list[str]:
-        """Return the hosts that hold a rank of a group."""
+        """Return the hosts that have a rank of a group."""
         return [
             host
-            for host, held in self.held.items()
+            for host, held in self.shards.items()
             if (held.group, held.fence) == (shard.group, shard.fence)
         ]
 
     def is_whole(self, shard: Shard) -> bool:
-        """Return whether exactly one host holds each rank of a group."""
-        ranks = [self.held[host].rank for host in self.list_members(shard)]
+        """Return whether exactly one host has each rank of a group."""
+        ranks = [self.shards[host].rank for host in self.list_members(shard)]
         return sorted(ranks) == list(range(shard.size))
 
     def find_loss(self, shard: Shard) -> float | None:
-        """Return when a group lost the first rank that it lacks."""
+        """Return the time of the earliest loss among the missing ranks."""
         lost = [
             at
             for (group, fence, _), at in self._lost.items()
@@ -66,17 +66,17 @@
 
 
 def check_groups(entries: Entries) -> Findings:
-    """Check that no request begins to run in a group that is not whole."""
-    hosts = _Hosts()
+    """Check that no request starts in a group with missing hosts."""
+    tracker = _ShardTracker()
     found = []
     for place, (at, event) in enumerate(entries):
         if isinstance(event, Held):
-            hosts.take(event, at)
+            tracker.apply(event, at)
         if not isinstance(event, Executed) or event.shard is None:
             continue
-        if hosts.is_whole(event.shard):
+        if tracker.is_whole(event.shard):
             continue
-        members = hosts.list_members(event.shard)
+        members = tracker.list_members(event.shard)
         message = (
             f"{event.shard.group} ran operation {event.operation}"
             f" with only {members}"
@@ -86,18 +86,18 @@
 
 
 def check_lost_groups(entries: Entries) -> Findings:
-    """Check that a group that lost a host gets no new work after a while.
+    """Check that a group that lost a host soon gets no new requests.
 
-    This is the check for runs in which the hosts of a group do not notice
-    that one of them is gone, so that only the nodes keep the promise.
+    This check is for runs in which the hosts of a group do not detect the
+    loss of a member, so that only the nodes can stop using the group.
     """
-    hosts = _Hosts()
+    tracker = _ShardTracker()
     found = []
     for place, (at, event) in enumerate(entries):
         if isinstance(event, Held):
-            hosts.take(event, at)
+            tracker.apply(event, at)
         elif isinstance(event, Arrived) and event.shard is not None:
-            lost = hosts.find_loss(event.shard)
+            lost = tracker.find_loss(event.shard)
             if lost is not None and at - lost > GONE_S:
                 message = (
                     f"{event.shard.group} got operation {event.operation}"
@@ -108,7 +108,7 @@
 
 
 def check_one_group(entries: Entries) -> Findings:
-    """Check that no node ever says that a host serves in two groups."""
+    """Check that no node reports a host as serving in two groups."""
     found = []
     for place, seen in pick(entries, GroupsSeen):
         counts = Counter(host for _, hosts in seen.groups for host in hosts)
@@ -120,21 +120,21 @@
 
 
 def check_leaving(entries: Entries) -> Findings:
-    """Check that backend servers get no new work once they are leaving."""
-    hosts = _Hosts()
-    since: dict[str, float] = {}
+    """Check that leaving backend servers receive no new requests."""
+    tracker = _ShardTracker()
+    leaving_since: dict[str, float] = {}
     found = []
     for place, (at, event) in enumerate(entries):
         if isinstance(event, Held):
-            hosts.take(event, at)
+            tracker.apply(event, at)
         elif isinstance(event, Leaving):
-            since[event.backend] = at
+            leaving_since[event.backend] = at
         elif isinstance(event, Arrived):
             members = [event.backend]
             if event.shard is not None:
-                members = hosts.list_members(event.shard)
+                members = tracker.list_members(event.shard)
             for member in members:
-                age = at - since.get(member, at)
+                age = at - leaving_since.get(member, at)
                 if age > LEAVING_S:
                     message = (
                         f"{member} got operation {event.operation}"
--- a/chervilrock/standin/history_revisions.py
+++ b/chervilrock/standin/history_revisions.py
@@ -1,4 +1,4 @@
-"""Checks of the configurations that nodes and operators saw."""
+"""Checks of the configurations that nodes and operators observed."""
 
 from chervilrock.standin.history import (
     ApplyTold,
@@ -18,14 +18,14 @@
 )
 
 IN_FORCE_S = 5.0
-"""Time after the faults in which the last configuration gets in force."""
+"""Time after the faults by which the last configuration is in force."""
 
 
 def fold_configurations(entries: Entries) -> dict[int, str]:
     """Return the operators of the accepted configurations by revision.
 
-    Of records from one writer that come in another order than that in which
-    they were written, the late ones do not count.
+    A record whose sequence number does not exceed that of the preceding
+    record of its writer is a duplicate or out of order and is ignored.
     """
     accepted: dict[int, str] = {}
     sequences: dict[str, int] = {}
@@ -41,7 +41,7 @@
 
 
 def check_configurations(entries: Entries) -> Findings:
-    """Check that revisions only grow and operators are told the truth."""
+    """Check that revisions never decrease and operators get true outcomes."""
     accepted = fold_configurations(entries)
     seen: dict[str, int] = {}
     found = []
@@ -69,7 +69,7 @@
 
 
 def check_in_force(entries: Entries) -> Findings:
-    """Check that live nodes have the last configuration soon after faults."""
+    """Check that live nodes get the last configuration soon after faults."""
     last = max(fold_configurations(entries), default=0)
     ended = [place for place, _ in pick(entries, FaultsEnded)]
     if not ended:
@@ -80,19 +80,19 @@
         if appended.offset == last
     ]
     limit = max([entries[ended[0]].at, *appended_at]) + IN_FORCE_S
-    lacking: set[str] = set()
+    outdated_nodes: set[str] = set()
     for at, event in entries:
         if at > limit:
             break
         if isinstance(event, NodeStarted):
-            lacking.add(event.node)
+            outdated_nodes.add(event.node)
         elif isinstance(event, Killed):
-            lacking.discard(event.name)
+            outdated_nodes.discard(event.name)
         elif isinstance(event, StopBegan):
-            lacking.discard(event.node)
+            outdated_nodes.discard(event.node)
         elif isinstance(event, RevisionSeen):
-            lacking -= {event.node} if event.revision >= last else set()
+            outdated_nodes -= {event.node} if event.revision >= last else set()
     return [
         Finding(Promise.IN_FORCE, ended[0], f"{node} lacks revision {last}")
-        for node in sorted(lacking)
+        for node in sorted(outdated_nodes)
     ]
--- a/chervilrock/standin/history_sources.py
+++ b/chervilrock/standin/history_sources.py
@@ -1,8 +1,8 @@
-"""Stand-ins that note what they do in a history.
+"""Stand-ins that record their actions in a history.
 
-Requests carry the number of their operation and of their try: a completion in
-its prompt, as `[7/31]`, a call of a plain service in its path, as
-`/entries/7`, and in the header `X-Try`.
+Requests carry the numbers of their operation and attempt: a completion in its
+prompt, as `[7/31]`; a call of a plain service in its path, as `/entries/7`,
+and in the header `X-Try`.
 """
 
 import re
@@ -36,19 +36,19 @@
 
 
 def make_mark(operation: int, attempt: int) -> str:
-    """Return what a prompt carries; attempt 0 when all tries are alike."""
+    """Return the mark for a prompt; attempt 0 if all attempts are equal."""
     return f"[{operation}/{attempt}]"
 
 
 class RecordedFabric(Fabric):
-    """Notes which host holds which shard ready.
+    """Records which host has loaded which shard.
 
     A blind fabric hides the loss of a host from the other hosts of its group,
-    so that they go on as if the group were whole.
+    so that they continue as if the group were whole.
     """
 
     def __init__(self, *, history: History, blind: bool = False) -> None:
-        """Make an empty registry."""
+        """Create an empty registry."""
         super().__init__()
         self._history = history
         self._blind = blind
@@ -74,17 +74,17 @@
 
 
 def read_shard(shard: EngineShard) -> Shard:
-    """Return the part of a shard that a history tells of."""
+    """Return the fields of a shard that a history records."""
     return Shard(shard["group"], shard["fence"], shard["rank"], shard["size"])
 
 
 class RecordedEngine(EngineStandIn):
-    """A model engine that notes what it queues and what it runs."""
+    """A model engine that records the requests it queues and runs."""
 
     def __init__(
         self, *, history: History, options: EngineOptions, fabric: Fabric
     ) -> None:
-        """Make an engine that does not listen yet."""
+        """Create an engine that does not listen yet."""
         super().__init__(options=options, fabric=fabric)
         self._history = history
 
@@ -114,10 +114,10 @@
 
 
 class RecordedService(ServiceStandIn):
-    """A backend server of a plain service that notes its calls."""
+    """A backend server of a plain service that records its calls."""
 
     def __init__(self, *, history: History, options: ServiceOptions) -> None:
-        """Make a backend server that does not listen yet."""
+        """Create a backend server that does not listen yet."""
         super().__init__(options=options)
         self._history = history
 
@@ -131,10 +131,10 @@
 def _record_calls(
     base: type[StandInHandler], history: History
 ) -> type[StandInHandler]:
-    """Return a handler that notes each call right before it runs."""
+    """Return a handler that records each call right before it runs."""
 
     class RecordedCall(base):  # type: ignore[misc, valid-type]
-        """Notes each call."""
+        """Records each call."""
 
         async def prepare(self) -> None:
             """See base class."""
@@ -159,7 +159,7 @@
 
 
 class RecordedPlatform(PlatformStandIn):
-    """A platform that notes the configurations in its log."""
+    """A platform that records configurations appended to its log."""
 
     def __init__(
         self,
@@ -168,7 +168,7 @@
         options: PlatformOptions | None = None,
         models: Any = None,
     ) -> None:
-        """Make a platform with empty streams."""
+        """Create a platform with empty streams."""
         super().__init__(options=options, models=models)
         self._history = history
 
@@ -179,10 +179,12 @@
         offsets = super().append(name, records)
         if name == CONFIGURATION_STREAM:
             for offset, raw in zip(offsets, records, strict=True):
-                self._note(offset, msgspec.json.decode(raw, type=Record))
+                self._record_append(
+                    offset, msgspec.json.decode(raw, type=Record)
+                )
         return offsets
 
-    def _note(self, offset: int, record: Record) -> None:
+    def _record_append(self, offset: int, record: Record) -> None:
         event = ConfigurationAppended(offset, *record.record_id)
         if record.kind is RecordKind.CONFIGURATION_APPLIED:
             base, operator = record.body[:2]
--- a/test/history/conftest.py
+++ b/test/history/conftest.py
@@ -14,7 +14,7 @@
 from test.history.runs import BROKEN_RUNS, carry_out, RUNS
 
 WORKERS = 7
-"""Each run has one event loop; so many run at a time, in processes."""
+"""Number of worker processes; each run has an event loop of its own."""
 
 EXCHANGES = (repeat_silently, repeat_key_in_outage)
 
@@ -23,24 +23,27 @@
 
 @pytest.fixture(scope="session")
 def started() -> Iterator[Started]:
-    """Starts everything that takes time, the longest runs first."""
+    """Starts all runs and exchanges in the background, longest runs first."""
     context = multiprocessing.get_context("forkserver")
     context.set_forkserver_preload(["test.history.runs"])
     with concurrent.futures.ProcessPoolExecutor(WORKERS, context) as pool:
         runs = {**RUNS, **BROKEN_RUNS}
         yield {
             **{name: pool.submit(carry_out, runs[name]) for name in runs},
-            **{one: pool.submit(run_exchange, one) for one in EXCHANGES},
+            **{
+                exchange: pool.submit(run_exchange, exchange)
+                for exchange in EXCHANGES
+            },
         }
 
 
 @pytest.fixture
 def get_history(started) -> Callable[[str], list[Entry]]:
-    """Returns the history of a run by its name, once the run is over."""
+    """Returns a function that waits for a run and returns its history."""
     return lambda name: started[name].result()
 
 
 @pytest.fixture
 def get_told(started):
-    """Returns what the callers of an exchange were told."""
+    """Returns a function that returns what callers of an exchange were told."""
     return lambda exchange: started[exchange].result()
--- a/test/history/exchanges.py
+++ b/test/history/exchanges.py
@@ -1,4 +1,4 @@
-"""Single requests that fail in a certain way, and what their callers get."""
+"""Single requests that fail in a certain way, and their outcomes."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -19,7 +19,7 @@
 BOOKING = Operation(1, Kind(SERVICE, Repeats.WITH_KEY), "desk", "north", 0)
 KEY = "booking-1"
 POLL_ENDED_S = 1.5
-"""Time after which the log service has answered all reads that wait."""
+"""Time after which the log service has answered all pending long polls."""
 
 
 def run_exchange(exchange: Exchange) -> list[Told]:
@@ -31,7 +31,10 @@
 
 
 async def repeat_silently() -> list[Told]:
-    """Let libcurl send requests again whose first send has begun to run."""
+    """Fail requests that already run on a reused connection.
+
+    libcurl retries such requests on its own, although the first one has run.
+    """
     site = Site(Options(nodes=1, latency_ms=200))
     try:
         await site.start()
@@ -44,10 +47,10 @@
 
 
 async def _fail_while_running(site: Site, kind: Kind, name: str, fail) -> Told:
-    """Send requests in peace, and one that fails after it has begun."""
+    """Send undisturbed requests, then one that fails while it runs."""
     caller = site.load.make_caller()
     node = site.nodes[0].address
-    # The first ones leave connections open that the last one reuses.
+    # The last request reuses connections that the first ones leave open.
     first = Operation(1, kind, name, "north", 5)
     servers = site.installation.services
     await asyncio.gather(*(caller.send_try(first, node) for _ in servers))
@@ -74,28 +77,28 @@
 
 
 async def _lose_host(site: Site) -> None:
-    """Break the group of a request that runs, before its first event."""
+    """Break the group of a running request before its first event."""
     site.installation.kill_host((await site.find_group("alpha"))[-1])
 
 
 async def _refuse_rest(site: Site) -> None:
-    """Let servers lose the answer of what runs and refuse what comes."""
+    """Let servers lose answers of running requests and refuse new ones."""
     site.installation.add_faults(FaultKind.LOSE_ANSWER, FaultKind.REFUSE)
 
 
 async def repeat_key_in_outage() -> list[Told]:
-    """Repeat what ran at a node that cannot read of its key."""
+    """Retry a completed request at a node that cannot look up its key."""
     site = Site(Options(nodes=2))
     try:
         await site.start()
         caller = site.load.make_caller()
-        one, other = site.nodes
-        site.freeze_node(other)
+        first_node, second_node = site.nodes
+        site.freeze_node(second_node)
         await site.wait_age(Frozen, POLL_ENDED_S)
-        first = await caller.send_try(BOOKING, one.address, KEY)
+        first = await caller.send_try(BOOKING, first_node.address, KEY)
         site.installation.add_log_fault(FaultKind.OUTAGE)
-        site.resume_node(other)
-        second = await caller.send_try(BOOKING, other.address, KEY)
+        site.resume_node(second_node)
+        second = await caller.send_try(BOOKING, second_node.address, KEY)
         return [first.told, second.told]
     finally:
         await site.stop()
--- a/test/history/links.py
+++ b/test/history/links.py
@@ -10,7 +10,7 @@
     """Forwards connections to one address until it is cut.
 
     Attributes:
-      address: IP:port that leads to the other end, known after `start`
+      address: IP:port on which it listens, known after `start`
     """
 
     def __init__(self, *, target: str) -> None:
@@ -26,7 +26,7 @@
         self.address = f"{ip}:{port}"
 
     def cut(self) -> None:
-        """Break all connections and let no other one through."""
+        """Close all connections and reject new ones."""
         self._cut = True
         for writer in self._writers:
             writer.close()
@@ -43,12 +43,13 @@
             writer.close()
             return
         ip, _, port = self._target.rpartition(":")
-        there = await asyncio.open_connection(ip, int(port))
-        self._writers |= {writer, there[1]}
+        upstream = await asyncio.open_connection(ip, int(port))
+        self._writers |= {writer, upstream[1]}
         await asyncio.gather(
-            self._forward(reader, there[1]), self._forward(there[0], writer)
+            self._forward(reader, upstream[1]),
+            self._forward(upstream[0], writer),
         )
-        self._writers -= {writer, there[1]}
+        self._writers -= {writer, upstream[1]}
 
     async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/test/history/loops.py
+++ b/test/history/loops.py
@@ -1,8 +1,8 @@
 """An event loop in which a part of the process can be frozen.
 
-Each task and callback runs in the context in which it was made. What was made
-in the context of an owner can be held back, with all of its sockets open and
-the clock going on, as a process is that got SIGSTOP.
+Each task and callback runs in the context in which it was created. All that
+was created in the context of an owner can be suspended while its sockets stay
+open and the clock advances, as in a process that received SIGSTOP.
 """
 
 import asyncio
@@ -27,20 +27,20 @@
 
 
 class _ReadyQueue(collections.deque[events.Handle]):
-    """Handles that are ready; those of frozen owners are put aside."""
+    """A queue of ready handles that defers those of frozen owners."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__()
-        self.held: dict[str, dict[events.Handle, None]] = {}
+        self.deferred: dict[str, dict[events.Handle, None]] = {}
         self._skipped = events.Handle(int, (), loop)
         self._skipped.cancel()
 
     def popleft(self) -> events.Handle:
         handle = super().popleft()
-        held = self.held.get(find_owner(handle))
-        if held is None:
+        deferred = self.deferred.get(find_owner(handle))
+        if deferred is None:
             return handle
-        held[handle] = None
+        deferred[handle] = None
         return self._skipped
 
 
@@ -52,34 +52,36 @@
     def __init__(self) -> None:
         super().__init__()
         self._ready = _ReadyQueue(self)
-        self._unwatched: dict[str, list[selectors.SelectorKey]] = {}
+        self._unregistered: dict[str, list[selectors.SelectorKey]] = {}
 
     def freeze(self, owner: str) -> None:
-        """Run nothing of an owner from now on."""
-        self._ready.held.setdefault(owner, {})
+        """Suspend all callbacks of an owner."""
+        self._ready.deferred.setdefault(owner, {})
         keys = [
             key
             for key in self._selector.get_map().values()
-            if any(one and find_owner(one) == owner for one in key.data)
+            if any(
+                handle and find_owner(handle) == owner for handle in key.data
+            )
         ]
-        self._unwatched.setdefault(owner, []).extend(keys)
+        self._unregistered.setdefault(owner, []).extend(keys)
         for key in keys:
             self._selector.unregister(key.fileobj)
 
     def resume(self, owner: str) -> None:
-        """Let an owner go on."""
-        for key in self._unwatched.pop(owner, ()):
+        """Resume the callbacks of an owner."""
+        for key in self._unregistered.pop(owner, ()):
             self._selector.register(key.fileobj, key.events, key.data)
-        self._ready.extend(self._ready.held.pop(owner, {}))
+        self._ready.extend(self._ready.deferred.pop(owner, {}))
 
     def resume_all(self) -> None:
-        """Let all owners go on."""
-        for owner in list(self._ready.held):
+        """Resume the callbacks of all owners."""
+        for owner in list(self._ready.deferred):
             self.resume(owner)
 
 
 class Owner:
-    """Makes objects and tasks that belong to one owner."""
+    """Creates objects and tasks that belong to one owner."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -89,9 +91,9 @@
     def call(self, function: Callable[..., _T], **arguments: Any) -> _T:
         return self._context.run(lambda: function(**arguments))
 
-    async def run(self, work: Coroutine[Any, Any, _T]) -> _T:
+    async def run(self, coroutine: Coroutine[Any, Any, _T]) -> _T:
         loop = asyncio.get_running_loop()
-        return await loop.create_task(work, context=self._context)
+        return await loop.create_task(coroutine, context=self._context)
 
 
 def get_loop() -> FreezableLoop:
--- a/test/history/mutations.py
+++ b/test/history/mutations.py
@@ -1,4 +1,4 @@
-"""Ways to break the product, each of which a check has to find."""
+"""Mutations of the product, each of which a check has to detect."""
 
 from unittest import mock
 
@@ -15,7 +15,7 @@
 FOREVER_S = 1e9
 
 
-class _Deaf(Receiver):
+class _DiscardingReceiver(Receiver):
     def handle_head(self, head) -> None:
         pass
 
@@ -24,20 +24,23 @@
 
 
 def send_twice():
-    """Send what must be sent once a second time."""
+    """Send requests twice that must be sent only once."""
     run = Transfer.run
 
     async def run_twice(self, client):
         request: BackendRequest = self._request
         if request.send_once:
-            await run(Transfer(request=request, receiver=_Deaf()), client)
+            await run(
+                Transfer(request=request, receiver=_DiscardingReceiver()),
+                client,
+            )
         return await run(self, client)
 
     return mock.patch.object(Transfer, "run", run_twice)
 
 
 def forget_runs():
-    """Run whatever a ticket is shown for, once it has run."""
+    """Run an operation again when its ticket is sent after completion."""
     original = RunRegistry.find
 
     def find(self, name, fingerprint):
@@ -50,7 +53,7 @@
 
 
 def deny_runs():
-    """Tell `not_run` whatever happened."""
+    """Report `not_run` as the outcome of every request."""
     return mock.patch.object(
         outcomes, "judge_outcome", lambda _ends: Outcome.NOT_RUN
     )
@@ -70,7 +73,7 @@
 
 
 def assume_presence():
-    """Take evidence of the presence of a host for good at any age."""
+    """Accept evidence of the presence of a host at any age."""
     original = PresenceTable.__init__
 
     def make(self, *, limit, now):
@@ -81,7 +84,7 @@
 
 
 def accept_stale_bases():
-    """Accept a configuration whatever it replaces."""
+    """Accept a configuration regardless of its base revision."""
     original = ConfigurationFold._judge_base
 
     def judge(self, stored, body):
@@ -92,7 +95,7 @@
 
 
 def ignore_leaving():
-    """Overlook that the host list says that servers leave."""
+    """Ignore that servers are marked as leaving in the host list."""
     original = HostsListed.__new__
 
     def make(cls, hosts, read_at):
@@ -104,7 +107,7 @@
 
 
 def stop_at_once():
-    """Stop without waiting for what is in progress."""
+    """Stop without waiting for requests in progress."""
 
     async def stop(self):
         await self.kill()
--- a/test/history/nodes.py
+++ b/test/history/nodes.py
@@ -1,4 +1,4 @@
-"""What a site is made of: its options and its entry nodes."""
+"""Options of a site and its entry nodes."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,13 @@
 
 
 class Options(NamedTuple):
-    """What is special about a site.
+    """Options of a site.
 
     Attributes:
-      blind: whether the hosts of a group do not notice the loss of another
-      fenced: whether engines check fencing numbers; else every second does
-      operations: least number of operations
-      latency_ms: time of a call of the plain service
+      blind: whether the hosts of a group do not detect the loss of another
+      fenced: whether all engines check fencing numbers, or only every second
+      operations: minimum number of operations
+      latency_ms: duration of a call of the plain service
     """
 
     seed: int = 1
@@ -26,10 +26,10 @@
 
 
 class Node(NamedTuple):
-    """An entry node and the owner of everything that it runs.
+    """An entry node and the owner of its tasks and callbacks.
 
     Attributes:
-      link: leads from the node to the platform
+      link: network path from the node to the platform
     """
 
     entry: EntryNode
--- a/test/history/runs.py
+++ b/test/history/runs.py
@@ -1,4 +1,4 @@
-"""The runs: what fails in each, and how they are started."""
+"""Runs of whole installations with failures, and how to execute them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 from test.history.sites import Site
 
 SNAPSHOT_AGE_S = 1.0
-"""Snapshots are frequent, so that a log can be trimmed in a short run."""
+"""Snapshots are frequent so that a log can be trimmed during a short run."""
 
 
 class Run(NamedTuple):
@@ -23,7 +23,7 @@
 
     Attributes:
       fail: causes the failures
-      mutate: breaks the product for the time of the run
+      mutate: returns a context that breaks the product during the run
     """
 
     fail: Callable[[Site], Awaitable[None]]
@@ -50,55 +50,55 @@
     "operators": Run(failures.race_operators, Options(seed=9)),
 }
 
-SMALL = 64
-"""Operations of a run with a broken product."""
+BROKEN_RUN_OPERATIONS = 64
+"""Minimum number of operations of a run with a broken product."""
 
 BROKEN_RUNS = {
     "doubled send": Run(
         failures.do_nothing,
-        Options(seed=21, operations=SMALL),
+        Options(seed=21, operations=BROKEN_RUN_OPERATIONS),
         mutations.send_twice,
     ),
     "forgotten ticket": Run(
         failures.spoil_answers,
-        Options(seed=22, operations=SMALL),
+        Options(seed=22, operations=BROKEN_RUN_OPERATIONS),
         mutations.forget_runs,
     ),
     "untrue not_run": Run(
         failures.lose_answers,
-        Options(seed=23, operations=SMALL),
+        Options(seed=23, operations=BROKEN_RUN_OPERATIONS),
         mutations.deny_runs,
     ),
     "silent cut": Run(
         failures.break_streams,
-        Options(seed=24, operations=SMALL),
+        Options(seed=24, operations=BROKEN_RUN_OPERATIONS),
         mutations.cut_silently,
     ),
     "unproved presence": Run(
         failures.blind_groups,
-        Options(seed=25, operations=SMALL, blind=True),
+        Options(seed=25, operations=BROKEN_RUN_OPERATIONS, blind=True),
         mutations.assume_presence,
     ),
     "stale base": Run(
         failures.race_operators,
-        Options(seed=26, operations=SMALL),
+        Options(seed=26, operations=BROKEN_RUN_OPERATIONS),
         mutations.accept_stale_bases,
     ),
     "ignored leaving": Run(
         failures.leave_servers,
-        Options(seed=27, operations=SMALL),
+        Options(seed=27, operations=BROKEN_RUN_OPERATIONS),
         mutations.ignore_leaving,
     ),
     "hasty stop": Run(
         failures.stop_nodes,
-        Options(seed=28, operations=SMALL, latency_ms=300),
+        Options(seed=28, operations=BROKEN_RUN_OPERATIONS, latency_ms=300),
         mutations.stop_at_once,
     ),
 }
 
 
 def take_snapshots_often() -> contextlib.AbstractContextManager[object]:
-    """Give every schedule of snapshots a short age limit."""
+    """Set a short age limit for every snapshot schedule."""
     original = SnapshotSchedule.__init__
     policy = SnapshotPolicy(age_s=SNAPSHOT_AGE_S)
 
@@ -109,7 +109,7 @@
 
 
 def carry_out(run: Run) -> list[Entry]:
-    """Carry out a run in an event loop of its own; return its history."""
+    """Execute a run in an event loop of its own and return its history."""
     events.configure_logging(level="ERROR")
     with take_snapshots_often(), run.mutate(), _make_runner() as runner:
         history: History = runner.run(_run(run))
--- a/test/history/sites.py
+++ b/test/history/sites.py
@@ -35,12 +35,12 @@
 CALLERS = 12
 SLOW_CALLER_S = 0.05
 LEASE_MS = 800
-WARM_UP = 0.15
-"""Share of the load before the first failure."""
+WARM_UP_SHARE = 0.15
+"""Share of the load before the first failure (0 to 1)."""
 
 
 class Site(Watch[Node]):
-    """Stand-ins, entry nodes, callers, and what causes the faults."""
+    """Stand-ins, entry nodes and callers, and methods that cause faults."""
 
     def __init__(self, options: Options) -> None:
         self.options = options
@@ -77,13 +77,13 @@
     async def run(
         self, cause_faults: "Callable[[Site], Awaitable[None]]"
     ) -> History:
-        """Run load and faults to their end and return the history."""
+        """Run the load and the failure script and return the history."""
         try:
             await self.start()
             sampling = asyncio.create_task(self.sample())
             load = asyncio.create_task(self.load.run())
             try:
-                await self.wait_progress(WARM_UP)
+                await self.wait_progress(WARM_UP_SHARE)
                 await cause_faults(self)
                 self.history.note(FaultsEnded())
                 await self.wait_in_force()
@@ -96,7 +96,7 @@
         return self.history
 
     async def start(self) -> None:
-        """Start everything and wait until every group serves."""
+        """Start the installation and wait until every group serves."""
         await self.installation.start()
         for _ in range(self.options.nodes):
             await self.start_node()
@@ -114,7 +114,7 @@
         self._client.close()
 
     async def start_node(self) -> Node:
-        """Start one more entry node."""
+        """Start another entry node."""
         number = next(self._numbers)
         link = Link(target=self.installation.platform.address)
         await link.start()
@@ -143,7 +143,7 @@
         return node
 
     async def kill_node(self, node: Node) -> None:
-        """Let an entry node die."""
+        """Kill an entry node."""
         self.nodes.remove(node)
         self.history.note(Killed(node.address))
         await node.owner.run(node.entry.kill())
@@ -157,13 +157,13 @@
         self.history.note(StopEnded(node.address, cut))
 
     def freeze_node(self, node: Node) -> None:
-        """Let an entry node do nothing, with its sockets open."""
+        """Suspend an entry node while its sockets stay open."""
         self.history.note(Frozen(node.address))
         self._frozen.add(node.owner.name)
         get_loop().freeze(node.owner.name)
 
     def resume_node(self, node: Node) -> None:
-        """Let an entry node go on."""
+        """Resume a frozen entry node."""
         get_loop().resume(node.owner.name)
         self._frozen.discard(node.owner.name)
         self.history.note(Resumed(node.address))
@@ -180,7 +180,7 @@
         await self.wait(is_lapsed, "the lease does not lapse")
 
     async def apply_next(self, name: str) -> ApplyTold:
-        """Apply a configuration in the place of the newest one."""
+        """Apply a configuration based on the latest revision."""
         base = await self.read_revision()
         running = self.list_running()
         node = running[len(running) // 2]
--- a/test/history/test_broken_histories.py
+++ b/test/history/test_broken_histories.py
@@ -1,4 +1,4 @@
-"""Each check has to find the history that breaks its promise."""
+"""Each check has to detect a history that violates its guarantee."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -39,7 +39,7 @@
 STARTED = [NodeStarted("n"), ConfigurationAppended(3, "w", 1, 0, "anna")]
 
 
-NOTHING: set[Promise] = set()
+NO_VIOLATIONS: set[Promise] = set()
 
 
 def send(repeats=Repeats.FREELY, attempt=1) -> Event:
@@ -63,7 +63,7 @@
 
 
 def find_promises(events, blind=False) -> set[Promise]:
-    """Checks a history; a number among the events is a time that passes."""
+    """Returns the violated guarantees; a float advances the clock (in s)."""
     entries = []
     now = 0.0
     for event in events:
@@ -71,7 +71,7 @@
             now += event
         else:
             entries.append(Entry(now, event))
-    return {one.promise for one in check_history(entries, blind=blind)}
+    return {finding.promise for finding in check_history(entries, blind=blind)}
 
 
 BROKEN = {
@@ -304,13 +304,13 @@
 
 @pytest.mark.parametrize("name", SOUND)
 def test_sound_history_passes(name):
-    assert_that(find_promises(SOUND[name]), Equals(NOTHING))
+    assert_that(find_promises(SOUND[name]), Equals(NO_VIOLATIONS))
 
 
 def test_blind_group_may_get_work_for_a_while():
     lost = [*WHOLE, Held("b", None)]
     soon = find_promises([*lost, 2.9, arrive("a", LEADER)], blind=True)
-    assert_that(soon, Equals(NOTHING))
+    assert_that(soon, Equals(NO_VIOLATIONS))
 
 
 def test_blind_group_gets_no_work_later():
--- a/test/history/test_exchanges.py
+++ b/test/history/test_exchanges.py
@@ -1,4 +1,4 @@
-"""What the callers of single requests get in certain failures."""
+"""What callers of single requests are told after certain failures."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
--- a/test/history/test_promises.py
+++ b/test/history/test_promises.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked in the histories of all runs."""
+"""Guarantees of the system, checked in the histories of all runs."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -9,7 +9,7 @@
 from chervilrock.standin.history_findings import Finding, Promise
 from test.history.runs import BROKEN_RUNS, Run, RUNS
 
-LEAST_REQUESTS = 2000
+MIN_REQUESTS = 2000
 
 FOUND = {
     "doubled send": Promise.AT_MOST_ONCE,
@@ -23,14 +23,16 @@
 }
 
 
-NOTHING: list[str] = []
+NO_VIOLATIONS: list[str] = []
 
 
 def check(get_history, name: str, run: Run) -> tuple[Finding, ...]:
     return check_history(get_history(name), blind=run.options.blind)
 
 
-@pytest.mark.parametrize("promise", Promise, ids=lambda one: one.name.lower())
+@pytest.mark.parametrize(
+    "promise", Promise, ids=lambda promise: promise.name.lower()
+)
 def test_promise_holds_in_every_run(get_history, promise):
     broken = [
         f"{name}: {finding.message}"
@@ -38,7 +40,7 @@
         for finding in check(get_history, name, run)
         if finding.promise is promise
     ]
-    assert_that(broken, Equals(NOTHING))
+    assert_that(broken, Equals(NO_VIOLATIONS))
 
 
 def test_enough_requests_ended(get_history):
@@ -48,9 +50,9 @@
         for entry in get_history(name)
         if isinstance(entry.event, Ended)
     ]
-    assert_that(len(ended), GreaterThan(LEAST_REQUESTS - 1))
-    whole = [one for one in ended if one.told is Told.WHOLE]
-    assert_that(len(whole), GreaterThan(LEAST_REQUESTS // 2))
+    assert_that(len(ended), GreaterThan(MIN_REQUESTS - 1))
+    whole = [event for event in ended if event.told is Told.WHOLE]
+    assert_that(len(whole), GreaterThan(MIN_REQUESTS // 2))
 
 
 @pytest.mark.parametrize("name", BROKEN_RUNS)
