--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,8 +1,8 @@
 """Runs the benches and prints one JSON line for each result.
 
 A bench is a module of this package that defines
-`run(*, quick: bool) -> Iterable[dict[str, object]]`. Its docstring tells its
-method. Modules without `run` are helpers of the benches.
+`run(*, quick: bool) -> Iterable[dict[str, object]]`. Its docstring describes
+the method. Modules without `run` are helpers of the benches.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -20,7 +20,7 @@
 
 
 class Bench(NamedTuple):
-    """A bench and the name to call it by."""
+    """A bench and its name on the command line."""
 
     name: str
     run: Run
@@ -46,10 +46,10 @@
 
 
 def select(benches: dict[str, Bench], names: list[str]) -> list[Bench]:
-    """Returns the benches of these names, or all when no name is given.
+    """Returns the benches with these names, or all if no name is given.
 
     Raises:
-        typer.BadParameter: No bench has one of the names.
+        typer.BadParameter: A name is not that of a bench.
     """
     unknown = sorted(set(names) - set(benches))
     if unknown:
--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -1,11 +1,12 @@
-"""Tickets against claims in the log, for requests that may run only once.
-
-Callers send calls of a plain service that may not be repeated: without any
-help, with a ticket that they get first, and with a key of their own that the
-node claims in the log. The log service works, is slow (`SLOW_MS` for each
-append) or is down. Told are the time of a call as its caller sees it, with
-the request for the ticket, the share of calls that got an answer, and the
-appends for each call. One process runs everything.
+"""Tickets compared with claims in the log, for requests that may run only once.
+
+Callers call a plain service with requests that are not idempotent: without
+protection, with a ticket that they request first, and with an idempotency key
+of their own that the node claims in the log. The log service is healthy, slow
+(`SLOW_APPEND_MS` for each append) or down. The results hold the latency of a
+call at its caller, including the request for the ticket, the share of calls
+that were answered, and the number of appends for each call. Everything runs in
+one process.
 """
 
 import asyncio
@@ -38,12 +39,12 @@
 
 CALLS = 800
 CALLERS = 16
-CALLS_DOWN = 320
+LOG_DOWN_CALLS = 320
 THINK_S = 0.1
-"""Time between two calls of a caller, so that nobody waits for the processor
-of the bench."""
+"""Mean pause between two calls of a caller; it keeps the processor of the bench
+from becoming the bottleneck."""
 
-SLOW_MS = 200
+SLOW_APPEND_MS = 200
 APPENDS_PER_S = 300.0
 
 _MS = 1000.0
@@ -53,7 +54,7 @@
 
 
 class Means(enum.StrEnum):
-    """What keeps a call from running twice across nodes."""
+    """Protection of a call against running twice across nodes."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -61,7 +62,7 @@
 
 
 class LogState(enum.StrEnum):
-    """How the log service does."""
+    """Condition of the log service."""
 
     HEALTHY = "healthy"
     SLOW = "slow"
@@ -78,8 +79,8 @@
     client: CurlAsyncHTTPClient
 
 
-class CallEnd(NamedTuple):
-    """What a caller got."""
+class CallResult(NamedTuple):
+    """Outcome and latency of a call."""
 
     outcome: str
     seconds: float
@@ -94,7 +95,7 @@
     configure_logging(level="ERROR")
     divisor = _QUICK_DIVISOR if quick else 1
     for state in LogState:
-        calls = CALLS_DOWN if state is LogState.DOWN else CALLS
+        calls = LOG_DOWN_CALLS if state is LogState.DOWN else CALLS
         for means in Means:
             yield asyncio.run(_measure(state, means, calls // divisor))
 
@@ -105,13 +106,17 @@
     async with contextlib.AsyncExitStack() as stack:
         site = await _start_site(stack)
         _set_state(site.platform, state)
-        began = time.monotonic()
+        started = time.monotonic()
         callers = (
-            _call_often(site, means, f"c{number}", calls // CALLERS)
+            _call_repeatedly(site, means, f"c{number}", calls // CALLERS)
             for number in range(CALLERS)
         )
-        ends = [end for part in await asyncio.gather(*callers) for end in part]
-        return _summarise(state, means, site, ends, time.monotonic() - began)
+        results = [
+            result for part in await asyncio.gather(*callers) for result in part
+        ]
+        return _summarise(
+            state, means, site, results, time.monotonic() - started
+        )
 
 
 async def _start_site(stack: contextlib.AsyncExitStack) -> Site:
@@ -128,8 +133,8 @@
     node = KeyNode(upstream=upstream, now=time.monotonic, log=log)
     path = RequestPath(context=node)
     stack.callback(path.close)
-    for work in node.list_coroutines():
-        stack.callback(asyncio.create_task(work).cancel)
+    for coroutine in node.list_coroutines():
+        stack.callback(asyncio.create_task(coroutine).cancel)
     sockets = bind_sockets(0, "127.0.0.1", reuse_port=False)
     server = HTTPServer(Application(make_caller_routes(node, path=path)))
     server.add_sockets(sockets)
@@ -143,36 +148,39 @@
 def _set_state(platform: PlatformStandIn, state: LogState) -> None:
     if state is LogState.SLOW:
         rule = FaultRule(
-            kind=FaultKind.DELAY, method="POST", path="/log", delay_ms=SLOW_MS
+            kind=FaultKind.DELAY,
+            method="POST",
+            path="/log",
+            delay_ms=SLOW_APPEND_MS,
         )
         platform.faults.add(rule)
     elif state is LogState.DOWN:
         platform.faults.add(FaultRule(kind=FaultKind.OUTAGE, path="/log"))
 
 
-async def _call_often(
+async def _call_repeatedly(
     site: Site, means: Means, caller: str, calls: int
-) -> list[CallEnd]:
-    ends = []
+) -> list[CallResult]:
+    results = []
     for number in range(calls):
         await asyncio.sleep(THINK_S * (0.5 + random.random()))
-        ends.append(await _call(site, means, f"{caller}-{number}"))
-    return ends
+        results.append(await _call(site, means, f"{caller}-{number}"))
+    return results
 
 
-async def _call(site: Site, means: Means, key: str) -> CallEnd:
-    began = time.monotonic()
+async def _call(site: Site, means: Means, key: str) -> CallResult:
+    started = time.monotonic()
     headers = {}
     if means is Means.TICKET:
-        minted = await _post(site, "/v1/tickets", {})
-        headers["Idempotency-Key"] = msgspec.json.decode(minted[1])["ticket"]
+        response = await _post(site, "/v1/tickets", {})
+        headers["Idempotency-Key"] = msgspec.json.decode(response[1])["ticket"]
     elif means is Means.KEY:
         headers["Idempotency-Key"] = key
     status, body = await _post(site, f"/services/{SERVICE}/x", headers)
     outcome = "answered"
     if status != _STATUS_OK:
         outcome = msgspec.json.decode(body)["error"]["outcome"]
-    return CallEnd(outcome, time.monotonic() - began)
+    return CallResult(outcome, time.monotonic() - started)
 
 
 async def _post(
@@ -194,22 +202,22 @@
     state: LogState,
     means: Means,
     site: Site,
-    ends: list[CallEnd],
+    results: list[CallResult],
     seconds: float,
 ) -> dict[str, object]:
-    outcomes = Counter(end.outcome for end in ends)
-    times = sorted(end.seconds for end in ends)
+    outcomes = Counter(result.outcome for result in results)
+    times = sorted(result.seconds for result in results)
     answered = outcomes.pop("answered", 0)
     return {
         "log": state.value,
         "means": means.value,
-        "calls": len(ends),
-        "answered": round(answered / len(ends), 4),
+        "calls": len(results),
+        "answered": round(answered / len(results), 4),
         "errors": dict(outcomes),
         "p50_ms": round(statistics.median(times) * _MS, 1),
         "p95_ms": round(times[int(len(times) * _P95)] * _MS, 1),
-        "calls_per_s": round(len(ends) / seconds),
-        "appends_per_call": round(site.node.appends / len(ends), 3),
+        "calls_per_s": round(len(results) / seconds),
+        "appends_per_call": round(site.node.appends / len(results), 3),
         "runs_more_than_once": sum(
             count > 1 for count in site.service.executions.values()
         ),
--- a/bench/control_fold.py
+++ b/bench/control_fold.py
@@ -1,25 +1,25 @@
 """Cost of following and controlling a region, by the number of hosts.
 
-Groups of 16 hosts stand in fabric domains of 66, with two spares each. The
-region task of the product is driven by messages as a node drives it; each
-host is probed once a second, and the task takes what waits ten times a second.
-Processor time only, no sockets: what a probe costs on the wire is measured by
-the bench `probes`. For each number of hosts:
-
-* `fold_us`, `fold_bytes`: processor time to decode a page of the log service
-  and fold a record of it, and its bytes in the page.
-* `state_bytes`: memory of the fold, the evidence and the host list, a host.
-* `probe_us`: processor time of the task for the answer to one probe more.
+Groups of 16 hosts occupy fabric domains of 66, with two spares each. The
+region task of the product receives the messages that a node would send it;
+each host is probed once a second, and the task handles its inbox ten times a
+second. Only processor time is measured, without sockets: the bench `probes`
+measures the network cost of a probe. For each number of hosts:
+
+* `fold_us`, `fold_bytes`: processor time per record to decode a page of the
+  log service and fold it, and the bytes of a record in the page.
+* `state_bytes`: memory per host of the fold, the evidence and the host list.
+* `probe_us`: processor time of the task for the answer to one more probe.
 * `follow_ms`, `control_ms`: processor time in a second in which nothing
   changes, without the lease and with it; `follow_rest_ms` and
-  `control_rest_ms` are without the probes.
-* `failure_ms`: processor time of the controller for a host that dies, is
-  replaced, comes back and is free again, beyond an idle time of the same
-  length; `failure_records`, `failure_bytes`: what it appends for that.
+  `control_rest_ms` exclude the probes.
+* `failure_ms`: processor time of the controller for a host that fails, is
+  replaced, returns and is free again, less that of an idle time of the same
+  length; `failure_records`, `failure_bytes`: records appended for it.
 * `leaving_ms`, `leaving_records`, `leaving_bytes`: the same for a host that
   the host list shows as leaving.
 
-The last result works out the appends and the bytes of a region of the target.
+The last result extrapolates the appends and bytes to a region of the target.
 """
 
 from collections.abc import Callable, Iterable
@@ -46,15 +46,15 @@
 TICKS = 10
 IDLE_S = 20
 QUICK_IDLE_S = 5
-AWAY_S = 60
+ABSENCE_S = 60
 RETURNED_S = 30
 SETTLE_S = 30
 PAGE_RECORDS = 500
 REGIONS = 4
 RENEWALS_PER_S = 1.0
-FAILURES_A_DAY = 100
-REPLACEMENTS_A_DAY = 2_800
-SECONDS_A_DAY = 86_400
+FAILURES_PER_DAY = 100
+REPLACEMENTS_PER_DAY = 2_800
+SECONDS_PER_DAY = 86_400
 
 MS_PER_S = 1e3
 US_PER_MS = 1e3
@@ -69,7 +69,7 @@
 
 
 class Change(NamedTuple):
-    """What the controller spent on a host that went and came back."""
+    """Cost to the controller of a host that fails or leaves, and returns."""
 
     ms: float
     records: int
@@ -77,19 +77,19 @@
 
 
 def run(*, quick: bool) -> Iterable[dict[str, object]]:
-    """Yields the figures for each number of hosts, and those worked out."""
+    """Yields the figures for each number of hosts, then the extrapolation."""
     idle_s = QUICK_IDLE_S if quick else IDLE_S
     failure = leaving = Change(0.0, 0, 0)
     renewal = 0
     for size in QUICK_SIZES if quick else SIZES:
         fold = measure_fold(size)
         model = RegionModel(layout=make_layout(size))
-        _let_pass(model, SETTLE_S)
-        follow_ms = _let_pass(model, idle_s) / idle_s
-        twice_ms = _let_pass(model, idle_s, probes=2) / idle_s
-        probes_ms = max(0.0, twice_ms - follow_ms)
-        _win_lease(model)
-        control_ms = _let_pass(model, idle_s) / idle_s
+        _simulate_seconds(model, SETTLE_S)
+        follow_ms = _simulate_seconds(model, idle_s) / idle_s
+        two_probes_ms = _simulate_seconds(model, idle_s, probes=2) / idle_s
+        probes_ms = max(0.0, two_probes_ms - follow_ms)
+        _acquire_lease(model)
+        control_ms = _simulate_seconds(model, idle_s) / idle_s
         renewal = _count_bytes(model.appended[-1:])
         failure = _measure_failure(model, control_ms)
         leaving = _measure_leaving(model, control_ms)
@@ -116,9 +116,9 @@
 def work_out(
     failure: Change, leaving: Change, renewal_bytes: int
 ) -> dict[str, object]:
-    """Returns what a region of the target appends, from the slopes."""
-    failures = FAILURES_A_DAY / REGIONS / SECONDS_A_DAY
-    replaced = REPLACEMENTS_A_DAY / REGIONS / SECONDS_A_DAY
+    """Returns the load of a target region, from the cost of each change."""
+    failures = FAILURES_PER_DAY / REGIONS / SECONDS_PER_DAY
+    replaced = REPLACEMENTS_PER_DAY / REGIONS / SECONDS_PER_DAY
     records = failures * failure.records + replaced * leaving.records
     changed = failures * failure.bytes + replaced * leaving.bytes
     spent_ms = failures * failure.ms + replaced * leaving.ms
@@ -132,7 +132,7 @@
 
 
 def measure_fold(size: int) -> Fold:
-    """Measures the decoding and folding of a whole stream, in pages."""
+    """Measures the decoding and folding of a whole stream, page by page."""
     records = make_records(make_layout(size))
     pages = [
         _encode_page(records[start : start + PAGE_RECORDS], len(records))
@@ -143,10 +143,10 @@
     while rounds == 0 or time.process_time() - begin < 0.2:
         _fold(pages)
         rounds += 1
-    taken = time.process_time() - begin
+    cpu_s = time.process_time() - begin
     count = len(records) * rounds
     size_bytes = sum(len(page.body) for page in pages)
-    return Fold(taken / count * US_PER_S, size_bytes / len(records))
+    return Fold(cpu_s / count * US_PER_S, size_bytes / len(records))
 
 
 def _encode_page(records: list[StoredRecord], total: int) -> HttpAnswer:
@@ -174,7 +174,7 @@
 
 
 def measure_state(size: int) -> float:
-    """Returns the bytes of a host in a task that has read everything."""
+    """Returns the bytes per host in a task that has read the whole stream."""
     layout = make_layout(size)
     records = make_records(layout)
     document = msgspec.json.encode(records)
@@ -188,26 +188,28 @@
             model.task.inbox.offer(probe)
         model.advance()
     model.answer()
-    before = _trace()
+    before = _get_traced_bytes()
     del model.task, model.ports
-    freed = before - _trace()
+    freed = before - _get_traced_bytes()
     tracemalloc.stop()
     return freed / size
 
 
-def _trace() -> int:
+def _get_traced_bytes() -> int:
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
 
-def _let_pass(model: RegionModel, seconds: int, probes: int = 1) -> float:
-    """Lets seconds pass; returns the milliseconds that the task took."""
-    return sum(_pass_second(model, probes) for _ in range(seconds))
+def _simulate_seconds(
+    model: RegionModel, seconds: int, probes: int = 1
+) -> float:
+    """Simulates some seconds; returns the task's processor time in ms."""
+    return sum(_simulate_second(model, probes) for _ in range(seconds))
 
 
-def _pass_second(model: RegionModel, probes: int) -> float:
-    """Lets a second pass in which each host is probed so many times."""
-    taken = 0.0
+def _simulate_second(model: RegionModel, probes: int) -> float:
+    """Simulates a second with `probes` probes per host; returns ms."""
+    cpu_s = 0.0
     for tick in range(TICKS):
         model.pass_time(1.0 / TICKS)
         answers = model.probe(tick, TICKS) * probes
@@ -218,29 +220,29 @@
         for probe in answers:
             model.task.inbox.offer(probe)
         model.advance()
-        taken += time.process_time() - begin
+        cpu_s += time.process_time() - begin
         if model.answer():
             model.read()
-    return taken * MS_PER_S
+    return cpu_s * MS_PER_S
 
 
-def _win_lease(model: RegionModel) -> None:
-    """Lets the lease of the former controller lapse."""
+def _acquire_lease(model: RegionModel) -> None:
+    """Acquires the lease once that of the former controller has expired."""
     model.compete()
-    _let_pass(model, SETTLE_S)
+    _simulate_seconds(model, SETTLE_S)
     if not model.appended:
-        raise RuntimeError("the lease was not won")
+        raise RuntimeError("the lease was not acquired")
 
 
 def _measure_failure(model: RegionModel, control_ms: float) -> Change:
-    """Lets a host die, and come back when it was replaced."""
+    """Measures a host that fails, and returns after its replacement."""
     (host, *_) = model.layout.groups[0][1:]
     model.silent.add(host["host"])
     return _measure_change(model, control_ms, model.silent.clear)
 
 
 def _measure_leaving(model: RegionModel, control_ms: float) -> Change:
-    """Lets a host leave, and come back when it was replaced."""
+    """Measures a host that leaves, and returns after its replacement."""
     (host, *_) = model.layout.groups[-1][1:]
     model.list_hosts(leaving=frozenset({host["host"]}))
     return _measure_change(model, control_ms, model.list_hosts)
@@ -250,9 +252,9 @@
     model: RegionModel, control_ms: float, undo: Callable[[], None]
 ) -> Change:
     before = len(model.appended)
-    taken_ms = _let_pass(model, AWAY_S)
+    cpu_ms = _simulate_seconds(model, ABSENCE_S)
     undo()
-    taken_ms += _let_pass(model, RETURNED_S)
+    cpu_ms += _simulate_seconds(model, RETURNED_S)
     records = [
         record
         for record in model.appended[before:]
@@ -262,8 +264,8 @@
             RecordKind.SNAPSHOT_PART,
         )
     ]
-    spent = taken_ms - (AWAY_S + RETURNED_S) * control_ms
-    return Change(spent, len(records), _count_bytes(records))
+    extra_ms = cpu_ms - (ABSENCE_S + RETURNED_S) * control_ms
+    return Change(extra_ms, len(records), _count_bytes(records))
 
 
 def _count_bytes(records: list[Record]) -> int:
--- a/bench/entry_model.py
+++ b/bench/entry_model.py
@@ -1,9 +1,9 @@
 """Model of entry nodes that send requests to modelled engines.
 
 Nodes run the product's own routing and admission. Each sees only its own
-requests in progress. What it learns of engines comes late: load reports after
-0.3 to 1.5 s, cache events after 1 to 3 s and with a fifth of the batches
-lost, the loss of a host after 2 s. Requests to a lost group fail after 1 s.
+requests in progress. Information about engines is delayed: load reports by
+0.3 to 1.5 s, cache events by 1 to 3 s with a fifth of the batches lost, the
+loss of a host by 2 s. Requests to a lost group fail after 1 s.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,11 +16,11 @@
 from chervilrock.decisions.limits import verdicts
 from chervilrock.decisions.routing import base
 
-NEAR_S = 0.0002
-FAR_S = 0.001
-LOSS_SEEN_S = 2.0
-RETURN_SEEN_S = 1.0
-FAILURE_S = 1.0
+SAME_DATA_CENTRE_LATENCY_S = 0.0002
+CROSS_DATA_CENTRE_LATENCY_S = 0.001
+LOSS_DETECTION_S = 2.0
+RETURN_DETECTION_S = 1.0
+FAILURE_DELAY_S = 1.0
 TICK_S = 0.05
 MAX_ATTEMPTS = 3
 
@@ -38,7 +38,7 @@
         seed: int,
         faults: Iterable[entry_requests.Fault] = (),
     ) -> None:
-        """Build idle nodes and engines.
+        """Create idle nodes and engines.
 
         Args:
           policies: routing policy of each node.
@@ -47,7 +47,7 @@
           data_centres: number of data centres, over which nodes and engines
             are spread evenly.
           seed: seed of the lags and losses.
-          faults: what goes wrong.
+          faults: faults of engines to inject.
         """
         self.results: list[entry_requests.Result] = []
         self.gaps: list[tuple[float, float, int]] = []
@@ -64,7 +64,7 @@
         ]
         self._numbers = {e.group: i for i, e in enumerate(self.endpoints)}
         self.lost: set[int] = set()
-        self._seen = list(range(engines))
+        self._visible_engines = list(range(engines))
         self._stepping: set[int] = set()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -76,113 +76,117 @@
         self._plan_faults(faults)
 
     def run(self, arrivals: Iterable[workload.Arrival], until: float) -> None:
-        """Run all arrivals, and go on until all have ended.
+        """Process all arrivals until every request has ended.
 
         Args:
-          arrivals: requests in the order of time.
-          until: time at which reports end, in seconds.
+          arrivals: requests, sorted by time.
+          until: time in seconds at which periodic reports may stop.
         """
         names = [f"n{node}" for node in range(len(self.admissions))]
         for admission in self.admissions:
             admission.observe_members(names, 0.0)
             admission.observe_groups(self.endpoints, 0.0)
-        self._repeat(TICK_S, until, self._tick)
-        self._repeat(
+        self._run_periodically(TICK_S, until, self._tick)
+        self._run_periodically(
             late_reports.REPORT_INTERVAL_S, until, self._reports.report_loads
         )
-        self._repeat(
+        self._run_periodically(
             late_reports.PROGRESS_INTERVAL_S,
             until,
             self._reports.report_progress,
         )
-        self._repeat(
+        self._run_periodically(
             late_reports.EVENT_INTERVAL_S, until, self._reports.report_caches
         )
         for arrival in arrivals:
             while self._events and self._events[0][0] <= arrival.time:
-                self._next_event()
+                self._run_next_event()
             self.now = arrival.time
             self._arrive(arrival)
         while self._events:
-            self._next_event()
+            self._run_next_event()
 
     def cache_share(self) -> float:
-        """Return the share of the prompt tokens that were cached."""
-        asked = sum(engine.prompt_tokens for engine in self.engines)
+        """Return the fraction of prompt tokens found in the cache."""
+        total = sum(engine.prompt_tokens for engine in self.engines)
         cached = sum(engine.cached_tokens for engine in self.engines)
-        return cached / asked if asked else 0.0
+        return cached / total if total else 0.0
 
     def reset_counts(self) -> None:
-        """Forget the counts of the time before, at the end of a warm-up."""
+        """Reset the counters at the end of a warm-up."""
         self.first_attempts = self.retries = self.hedges = 0
         for engine in self.engines:
             engine.prompt_tokens = engine.cached_tokens = 0
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule an action at a time in seconds."""
         heapq.heappush(self._events, (time, next(self._order), action))
 
-    def _next_event(self) -> None:
+    def _run_next_event(self) -> None:
         self.now, _, action = heapq.heappop(self._events)
         action()
 
-    def _repeat(
+    def _run_periodically(
         self, interval: float, until: float, action: Callable[[], None]
     ) -> None:
-        def again() -> None:
+        def run_and_reschedule() -> None:
             action()
             if self.now < until or self._by_id:
-                self.at(self.now + interval, again)
+                self.at(self.now + interval, run_and_reschedule)
 
-        self.at(self.now, again)
+        self.at(self.now, run_and_reschedule)
 
     def _plan_faults(self, faults: Iterable[entry_requests.Fault]) -> None:
         for fault in faults:
             engine = fault.engine
             if fault.slowness:
-                self.at(fault.start, self._slower(engine, fault.slowness))
-                self.at(fault.end, self._slower(engine, 1.0))
+                self.at(
+                    fault.start, self._make_slowdown(engine, fault.slowness)
+                )
+                self.at(fault.end, self._make_slowdown(engine, 1.0))
                 continue
-            self.at(fault.start, functools.partial(self._lose, engine))
+            self.at(fault.start, functools.partial(self._lose_engine, engine))
             self.at(
-                fault.start + LOSS_SEEN_S,
-                functools.partial(self._see, engine, False),
+                fault.start + LOSS_DETECTION_S,
+                functools.partial(self._set_visible, engine, False),
             )
-            self.at(fault.end, functools.partial(self._return, engine))
+            self.at(fault.end, functools.partial(self._restore_engine, engine))
             self.at(
-                fault.end + RETURN_SEEN_S,
-                functools.partial(self._see, engine, True),
+                fault.end + RETURN_DETECTION_S,
+                functools.partial(self._set_visible, engine, True),
             )
 
-    def _slower(self, engine: int, slowness: float) -> Callable[[], None]:
+    def _make_slowdown(
+        self, engine: int, slowness: float
+    ) -> Callable[[], None]:
         def change() -> None:
             self.engines[engine].slowness = slowness
 
         return change
 
-    def _lose(self, engine: int) -> None:
+    def _lose_engine(self, engine: int) -> None:
         self.lost.add(engine)
         for attempt in self.engines[engine].attempts():
             self.at(
-                self.now + FAILURE_S,
+                self.now + FAILURE_DELAY_S,
                 functools.partial(self._fail, attempt, ran=True),
             )
 
-    def _return(self, engine: int) -> None:
+    def _restore_engine(self, engine: int) -> None:
         self.lost.discard(engine)
         self.engines[engine] = queue_model.Engine()
 
-    def _see(self, engine: int, present: bool) -> None:
+    def _set_visible(self, engine: int, present: bool) -> None:
         if present:
-            self._seen = sorted({*self._seen, engine})
+            self._visible_engines = sorted({*self._visible_engines, engine})
         else:
-            self._seen.remove(engine)
-        endpoints = self._visible()
+            self._visible_engines.remove(engine)
+        endpoints = self._get_visible_endpoints()
         for admission in self.admissions:
             admission.observe_groups(endpoints, self.now)
 
-    def _visible(self) -> list[base.Endpoint]:
-        return [self.endpoints[i] for i in self._seen]
+    def _get_visible_endpoints(self) -> list[base.Endpoint]:
+        return [self.endpoints[i] for i in self._visible_engines]
 
     def _tick(self) -> None:
         for admission in self.admissions:
@@ -199,7 +203,7 @@
         if isinstance(verdict, verdicts.Rejected):
             self._reject(verdict)
             return
-        self.at(view.deadline, lambda: self._give_up(request))
+        self.at(view.deadline, lambda: self._handle_deadline(request))
         if isinstance(verdict, verdicts.Admitted):
             self._dispatch(request)
             return
@@ -208,7 +212,7 @@
 
     def _reject(self, rejected: verdicts.Rejected) -> None:
         request = self._by_id[rejected.request_id]
-        self._end(request, None, rejected.code, rejected.retry_after_s)
+        self._end_request(request, None, rejected.code, rejected.retry_after_s)
 
     def _dispatch(
         self, request: entry_requests.Request, *, hedge: bool = False
@@ -220,7 +224,10 @@
         endpoint = None
         for exclude in (tried | reserved, tried):
             endpoint = self.policies[node].choose(
-                request.view, self._visible(), self.now, exclude=exclude
+                request.view,
+                self._get_visible_endpoints(),
+                self.now,
+                exclude=exclude,
             )
             if endpoint is not None:
                 break
@@ -244,8 +251,8 @@
         return True
 
     def _hedge(self, request: entry_requests.Request) -> None:
-        waits = request.first_s is None and not request.over
-        if not waits or len(request.attempts) != 1 or request.hedge:
+        is_waiting = request.first_s is None and not request.over
+        if not is_waiting or len(request.attempts) != 1 or request.hedge:
             return
         admission = self.admissions[request.arrival.node]
         if not admission.allow_hedge(request.view, self.now):
@@ -261,7 +268,10 @@
         endpoint = request.attempts[number]
         engine = self._numbers[endpoint.group]
         if engine in self.lost:
-            self.at(self.now + FAILURE_S, lambda: self._fail(number, ran=False))
+            self.at(
+                self.now + FAILURE_DELAY_S,
+                lambda: self._fail(number, ran=False),
+            )
             return
         arrival = request.arrival
         admission = self.admissions[arrival.node]
@@ -291,14 +301,14 @@
         def finish() -> None:
             if self.engines[number] is engine and number not in self.lost:
                 for attempt in result.first:
-                    self._get_first(attempt)
+                    self._handle_first_token(attempt)
                 for attempt in result.finished:
-                    self._get_last(attempt)
+                    self._handle_last_token(attempt)
             self._step(number)
 
         self.at(end, finish)
 
-    def _get_first(self, number: int) -> None:
+    def _handle_first_token(self, number: int) -> None:
         request = self.requests.get(number)
         if request is None:
             return
@@ -322,11 +332,11 @@
             for other in [n for n in request.attempts if n != number]:
                 self._cancel(request, other)
 
-    def _get_last(self, number: int) -> None:
+    def _handle_last_token(self, number: int) -> None:
         request = self.requests.get(number)
         if request is None:
             return
-        self._forget(
+        self._end_attempt(
             request, number, ok=True, tokens=request.arrival.answer_tokens
         )
         self._release(request, ok=True, code="")
@@ -335,7 +345,7 @@
         request = self.requests.get(number)
         if request is None:
             return
-        self._forget(request, number, ok=False, tokens=0)
+        self._end_attempt(request, number, ok=False, tokens=0)
         if request.attempts:
             return
         request.hedge = 0
@@ -352,12 +362,12 @@
             return
         self._release(request, ok=False, code="failed")
 
-    def _give_up(self, request: entry_requests.Request) -> None:
+    def _handle_deadline(self, request: entry_requests.Request) -> None:
         if request.over:
             return
         admission = self.admissions[request.arrival.node]
         if admission.cancel(request.view.request_id, self.now):
-            self._end(request, None, "caller_gone", 0.0)
+            self._end_request(request, None, "caller_gone", 0.0)
             return
         for number in list(request.attempts):
             self._cancel(request, number)
@@ -366,9 +376,9 @@
     def _cancel(self, request: entry_requests.Request, number: int) -> None:
         engine = self._numbers[request.attempts[number].group]
         self.engines[engine].cancel(number)
-        self._forget(request, number, ok=True, tokens=0)
+        self._end_attempt(request, number, ok=True, tokens=0)
 
-    def _forget(
+    def _end_attempt(
         self,
         request: entry_requests.Request,
         number: int,
@@ -386,7 +396,7 @@
         self, request: entry_requests.Request, *, ok: bool, code: str
     ) -> None:
         done = self.now - request.arrival.time if ok else None
-        self._end(request, done, code, 0.0)
+        self._end_request(request, done, code, 0.0)
         tokens = request.arrival.answer_tokens if ok else 0
         admission = self.admissions[request.arrival.node]
         for request_id in admission.release(
@@ -394,7 +404,7 @@
         ):
             self._dispatch(self._by_id[request_id])
 
-    def _end(
+    def _end_request(
         self,
         request: entry_requests.Request,
         done: float | None,
@@ -413,4 +423,6 @@
         near = endpoint.data_centre == entry_requests.data_centre_of(
             node, self._data_centres
         )
-        return NEAR_S if near else FAR_S
+        return (
+            SAME_DATA_CENTRE_LATENCY_S if near else CROSS_DATA_CENTRE_LATENCY_S
+        )
--- a/bench/entry_requests.py
+++ b/bench/entry_requests.py
@@ -15,7 +15,7 @@
       engine: number of the engine
       start: time in seconds
       end: time in seconds
-      slowness: factor on the time of each step, 0 for a lost host
+      slowness: factor on the duration of each step, 0 for a lost host
     """
 
     engine: int
@@ -25,14 +25,14 @@
 
 
 class Result(NamedTuple):
-    """What became of a request.
+    """Outcome of a request.
 
     Attributes:
       arrival: the request
       first_s: time from arrival to the first token, or None
       done_s: time from arrival to the last token, or None
-      code: why it was rejected or failed, empty for neither
-      retry_after_s: delay that a rejected caller was told
+      code: reason of a rejection or failure, else empty
+      retry_after_s: retry delay that a rejected caller received
     """
 
     arrival: workload.Arrival
@@ -43,7 +43,7 @@
 
 
 class Request:
-    """A request at its node, with its attempts by number."""
+    """State of a request at its node, with its attempts by number."""
 
     def __init__(
         self, arrival: workload.Arrival, view: base.RequestView
@@ -79,7 +79,7 @@
 
 
 def make_view(arrival: workload.Arrival) -> base.RequestView:
-    """Return what a node knows of an arrival."""
+    """Return an arrival as its node sees it."""
     return base.RequestView(
         request_id=str(arrival.number),
         workspace=arrival.workspace,
--- a/bench/group_optimum.py
+++ b/bench/group_optimum.py
@@ -1,23 +1,23 @@
 """Cost of the policy against the exact optimum on small random cases.
 
 A case has two or three fabric domains of 4 to 9 hosts, and two or three models
-with groups of 2 to 5 hosts; groups stand where chance put them. Then up to four
-hosts, and in one case of five a whole domain, are lost for good. The cost of
-four hours is compared:
-
-* the policy runs in the replay, with all its rules and delays, after it has
-  learnt that hosts which go stay away for long;
-* the optimum is that of an integer program: which groups to keep, to repair
-  or to form in which domain, with the load times of the replay but without
-  drains and releases.
-
-The program obeys the rule that a model never ceases to serve in one of two
-ways. `IN_PLACE`: each model that still serves after the loss keeps one of the
-groups that do, as the policy does in each plan; over several plans the policy
-can do better. `AT_END`: it has any group in the end, even where that needs
-hosts of its last group before; this is a lower bound for every planner.
-
-The weight store is fast enough here for all loads at once.
+with groups of 2 to 5 hosts; the groups are formed in random domains. Then up to
+four hosts, and in one of five cases a whole domain, are lost permanently. The
+cost over four hours is compared:
+
+* the policy runs in the replay, with all its rules and delays, after a history
+  from which it has learnt that lost hosts stay absent for long;
+* the optimum is that of an integer program, which decides which groups to
+  keep, to repair or to form in which domain, with the load times of the replay
+  but without drains and releases.
+
+The program applies the rule that a model never stops serving in one of two
+ways. `IN_PLACE`: each model that still serves after the loss keeps one of its
+serving groups, as the policy does in each plan; over several plans the policy
+can do better. `AT_END`: the model has any group in the end, even if that takes
+hosts of its last serving group; this is a lower bound for every planner.
+
+The weight store is fast enough for all loads at once.
 """
 
 from collections.abc import Iterator
@@ -43,12 +43,12 @@
 
 LOSS_S = 3_000.0
 WINDOW_S = 4 * 3_600.0
-LONG_S = 1e6
-LEARNT = 256
+LONG_ABSENCE_S = 1e6
+LEARNT_LOSSES = 256
 FIRST_SEED = 1001
-"""Cases below were used to improve the policy."""
+"""Cases with lower seeds were used to improve the policy."""
 SHARD_BYTES = 120e9
-FAST_STORE = 1e12
+FAST_STORE_BYTES_PER_S = 1e12
 
 
 class SmallCase(NamedTuple):
@@ -56,8 +56,8 @@
 
     Attributes:
       site: hosts, models and costs
-      formed: groups that stand before the loss
-      lost: hosts that are lost
+      formed: groups that exist before the loss
+      lost: names of the lost hosts
     """
 
     site: Site
@@ -66,7 +66,7 @@
 
 
 class Rule(enum.Enum):
-    """How the program keeps models serving."""
+    """How the program keeps each model serving."""
 
     IN_PLACE = enum.auto()
     AT_END = enum.auto()
@@ -104,35 +104,35 @@
     sizes = {
         spec["name"]: SHARD_BYTES * spec["hosts_per_group"] for spec in models
     }
-    site = Site(models, hosts, sizes, costs, store_rate=FAST_STORE)
-    formed = tuple(_scatter(models, hosts, generator))
+    site = Site(models, hosts, sizes, costs, store_rate=FAST_STORE_BYTES_PER_S)
+    formed = tuple(_form_random_groups(models, hosts, generator))
     return SmallCase(site, formed, _choose_lost(hosts, generator))
 
 
 def run_policy(case: SmallCase) -> float:
-    """Returns the cost of the policy."""
+    """Returns the cost of the policy over the window."""
     history = [Fault(LOSS_S, FaultKind.DOWN, name) for name in case.lost]
-    planner = _Staged(formed=case.formed)
+    planner = _PresetGroupsPlanner(formed=case.formed)
     replay = Replay(site=case.site, planner=planner, history=history)
     measure = replay.run(LOSS_S, LOSS_S + WINDOW_S)
     return _get_cost(measure, case.site.prices)
 
 
 def find_optimum(case: SmallCase, rule: Rule) -> float:
-    """Returns the least cost, by an integer program."""
-    program = _Program(case=case, rule=rule)
+    """Returns the minimum cost, found by an integer program."""
+    program = _IntegerProgram(case=case, rule=rule)
     return program.solve()
 
 
-class _Staged(GroupPlanner):
-    """Forms given groups first, and follows the policy after the loss."""
+class _PresetGroupsPlanner(GroupPlanner):
+    """Forms preset groups first, and follows the policy after the loss."""
 
     def __init__(self, *, formed: tuple[FormGroup, ...]) -> None:
         self._formed = formed
         self._policy = Planner()
-        for number in range(LEARNT):
+        for number in range(LEARNT_LOSSES):
             host = _view_host(f"past{number}")
-            self._policy.put_host(host._replace(present=False), -LONG_S)
+            self._policy.put_host(host._replace(present=False), -LONG_ABSENCE_S)
             self._policy.put_host(host, 0.0)
 
     def plan(self, view: PlanInput, now: float) -> tuple[Action, ...]:
@@ -142,11 +142,11 @@
         return self._policy.plan(view, now)
 
 
-class _Program:
+class _IntegerProgram:
     """The integer program of a case.
 
-    Its variables are 1 for each standing group that is kept or repaired, and
-    the number of new groups for each model and domain.
+    Its variables are 1 for each formed group that is kept or repaired, else
+    0, and the number of new groups for each model and domain.
     """
 
     def __init__(self, *, case: SmallCase, rule: Rule) -> None:
@@ -160,10 +160,10 @@
         ]
 
     def solve(self) -> float:
-        """Returns the least cost of the window."""
+        """Returns the minimum cost of the window."""
         case = self._case
-        values = [self._value_group(group) for group in case.formed]
-        values += [self._value_new(spec) for spec, _ in self._pairs]
+        values = [self._value_formed_group(group) for group in case.formed]
+        values += [self._value_new_group(spec) for spec, _ in self._pairs]
         upper = [1.0] * len(case.formed) + [np.inf] * len(self._pairs)
         result = milp(
             -np.array(values),
@@ -173,9 +173,9 @@
         )
         if not result.success:
             raise ValueError(result.message)
-        return self._get_worst() + float(result.fun)
+        return self._get_cost_without_service() + float(result.fun)
 
-    def _get_worst(self) -> float:
+    def _get_cost_without_service(self) -> float:
         """Returns the cost of a window in which nothing serves."""
         site = self._case.site
         wanted = sum(
@@ -186,19 +186,21 @@
         rate = site.prices.downtime * wanted + site.prices.stranded * powered
         return rate * WINDOW_S
 
-    def _get_worth(self, spec: ModelSpec) -> float:
+    def _get_group_value(self, spec: ModelSpec) -> float:
         costs = self._case.site.prices
         rate = costs.downtime * spec.get("weight", 1.0) + costs.stranded
         return rate * spec["hosts_per_group"]
 
-    def _value_group(self, group: FormGroup) -> float:
+    def _value_formed_group(self, group: FormGroup) -> float:
         lost = any(name in self._case.lost for name in group.hosts)
-        away_s = SHARD_BYTES / HOST_RATE + START_S if lost else 0.0
-        return self._get_worth(self._specs[group.model]) * (WINDOW_S - away_s)
+        outage_s = SHARD_BYTES / HOST_RATE + START_S if lost else 0.0
+        return self._get_group_value(self._specs[group.model]) * (
+            WINDOW_S - outage_s
+        )
 
-    def _value_new(self, spec: ModelSpec) -> float:
-        away_s = SHARD_BYTES / HOST_RATE + START_S
-        return self._get_worth(spec) * (WINDOW_S - away_s)
+    def _value_new_group(self, spec: ModelSpec) -> float:
+        outage_s = SHARD_BYTES / HOST_RATE + START_S
+        return self._get_group_value(spec) * (WINDOW_S - outage_s)
 
     def _list_constraints(self) -> list[LinearConstraint]:
         case = self._case
@@ -213,13 +215,13 @@
                 len(group.hosts) * (group.domain == domain) for group in formed
             ]
             row += [
-                spec["hosts_per_group"] * (place == domain)
-                for spec, place in self._pairs
+                spec["hosts_per_group"] * (pair_domain == domain)
+                for spec, pair_domain in self._pairs
             ]
             constraints.append(LinearConstraint(np.array([row]), ub=usable))
         for spec in case.site.models:
             row = [int(group.model == spec["name"]) for group in formed]
-            row += [int(other is spec) for other, _ in self._pairs]
+            row += [int(pair_spec is spec) for pair_spec, _ in self._pairs]
             constraints.append(
                 LinearConstraint(np.array([row]), ub=spec["groups"])
             )
@@ -229,11 +231,11 @@
     def _keep_serving(
         self, spec: ModelSpec, row: list[int]
     ) -> Iterator[LinearConstraint]:
-        """Yields the rule that a model which serves does not cease to.
+        """Yields the constraint that a serving model keeps serving.
 
         Args:
           spec: the model.
-          row: coefficients that count its groups.
+          row: coefficients that count the model's groups.
         """
         serving = [
             int(
@@ -249,12 +251,12 @@
         yield LinearConstraint(np.array([row]), lb=1)
 
 
-def _scatter(
+def _form_random_groups(
     models: tuple[ModelSpec, ...],
     hosts: tuple[HostEntry, ...],
     generator: random.Random,
 ) -> Iterator[FormGroup]:
-    """Yields groups of the models at random places."""
+    """Yields groups of the models in random fabric domains."""
     free: dict[str, list[str]] = {}
     for host in hosts:
         free.setdefault(host["domain"], []).append(host["host"])
@@ -262,9 +264,9 @@
     generator.shuffle(wanted)
     for spec in wanted:
         size = spec["hosts_per_group"]
-        places = [name for name in sorted(free) if len(free[name]) >= size]
-        if places:
-            domain = generator.choice(places)
+        candidates = [name for name in sorted(free) if len(free[name]) >= size]
+        if candidates:
+            domain = generator.choice(candidates)
             members = tuple(free[domain][:size])
             del free[domain][:size]
             yield FormGroup(spec["name"], "v1", (), members, domain)
@@ -276,8 +278,10 @@
     names = [host["host"] for host in hosts]
     lost = set(generator.sample(names, generator.randint(1, 4)))
     if generator.random() < 1 / 5:
-        dark = generator.choice(hosts)["domain"]
-        lost |= {host["host"] for host in hosts if host["domain"] == dark}
+        lost_domain = generator.choice(hosts)["domain"]
+        lost |= {
+            host["host"] for host in hosts if host["domain"] == lost_domain
+        }
     return tuple(sorted(lost))
 
 
--- a/bench/group_replay.py
+++ b/bench/group_replay.py
@@ -1,11 +1,12 @@
 """Replay of a fault history against a planner, in simulated time.
 
-It follows the rules of the controller: a host belongs to one group; a group
-serves while every host is present, stays and holds its shard; a host that a
-group gives up is free once it was emptied; a dissolved group that served
-drains first, and so does a group with a leaving host, which is then repaired
-or dissolved. Shards load from the weight store, whose rate all loads share;
-a load stops while its host is paused and starts again when the host restarts.
+The replay follows the rules of the controller. A host belongs to one group. A
+group serves while every host is present, is not leaving and holds its shard. A
+host that a group gives up is free once it is released. A serving group
+drains before it is dissolved; a group with a leaving host drains as well and is
+then repaired or dissolved. Shards load from the weight store, whose rate is
+divided among all loads; a load stops while its host is paused and starts over
+when the host restarts.
 """
 
 from collections.abc import Callable
@@ -35,20 +36,20 @@
 DRAIN_S = 30.0
 START_S = 20.0
 PLAN_INTERVAL_S = 15.0
-LONGEST_INTERVAL_S = 300.0
+MAX_PLAN_INTERVAL_S = 300.0
 HOST_RATE = 1e9
 STORE_RATE = 4e9
 FINISHED_BYTES = 1.0
 
 
 class Site(NamedTuple):
-    """What a replay runs on.
+    """Installation that a replay runs on.
 
     Attributes:
       models: wanted models
       hosts: every host
-      bytes: size of each model in the weight store
-      prices: costs that the planner is given
+      bytes: size in bytes of each model in the weight store
+      prices: costs that the planner minimises
       keeps_cache: whether a host keeps its shard when its group gives it up
       store_rate: rate of the weight store in bytes a second
     """
@@ -66,7 +67,7 @@
 
     Attributes:
       downtime: hosts of wanted groups that did not serve, in host-seconds
-      weighted: the same, times the weight of the model
+      weighted: the same, multiplied by the weight of the model
       stranded: powered accelerators in no serving group, accelerator-seconds
       loads: number of shards that were loaded
     """
@@ -78,7 +79,7 @@
 
 
 class Host:
-    """A host of the replay."""
+    """State of a host in the replay."""
 
     def __init__(self, *, entry: HostEntry) -> None:
         self.entry = entry
@@ -96,12 +97,12 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs and is not paused."""
+        """Whether the host runs and is not paused."""
         return self.outages == 0 and self.pauses == 0
 
     @property
     def is_loading(self) -> bool:
-        """Whether bytes flow to it."""
+        """Whether the host is loading a shard."""
         return self.is_up and self.remaining > 0
 
 
@@ -129,28 +130,28 @@
         self._stranded = 0.0
         self._loads = 0
         for fault in history:
-            self._schedule(fault.time, lambda each=fault: self._strike(each))  # type: ignore[misc]
+            self._schedule(fault.time, lambda each=fault: self._inject(each))  # type: ignore[misc]
 
     def run(self, start: float, end: float) -> Measure:
-        """Runs until `end` and measures from `start`, both in seconds."""
+        """Runs until `end`, measuring from `start`, both in seconds."""
         while self._now < end:
-            time = min(end, self._find_next())
+            time = min(end, self._find_next_event())
             self._advance(time, max(start, self._now))
             while self._queue and self._queue[0][0] <= time:
                 heapq.heappop(self._queue)[2]()
                 self._plan_at = time
                 self._changed_at = time
-            self._settle()
+            self._start_serving()
             if time >= self._plan_at:
                 self._plan()
         return Measure(
             self._downtime, self._weighted, self._stranded, self._loads
         )
 
-    def _schedule(self, time: float, step: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (time, next(self._order), step))
+    def _schedule(self, time: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (time, next(self._order), callback))
 
-    def _find_next(self) -> float:
+    def _find_next_event(self) -> float:
         loading = [h for h in self._hosts.values() if h.is_loading]
         time = self._plan_at
         if self._queue:
@@ -161,9 +162,9 @@
             time = min(time, self._now + least / rate)
         return max(time, self._now)
 
-    def _advance(self, time: float, measured: float) -> None:
-        """Moves the time on, with loads and integrals."""
-        elapsed = max(0.0, time - measured)
+    def _advance(self, time: float, measured_from: float) -> None:
+        """Advances the time, the loads and the integrals."""
+        elapsed = max(0.0, time - measured_from)
         if elapsed > 0:
             self._measure(elapsed)
         loading = [h for h in self._hosts.values() if h.is_loading]
@@ -190,7 +191,7 @@
         serving: dict[str, int] = {}
         used = 0
         for group in self._groups.values():
-            if self._serves(group):
+            if self._is_serving(group):
                 serving[group.model] = serving.get(group.model, 0) + 1
                 used += sum(
                     self._hosts[name].entry["accelerators"]
@@ -208,13 +209,13 @@
             self._weighted += hosts * elapsed * spec.get("weight", 1.0)
         self._stranded += (powered - used) * elapsed
 
-    def _serves(self, group: GroupView) -> bool:
+    def _is_serving(self, group: GroupView) -> bool:
         return group.phase == GroupPhase.SERVING and all(
-            self._holds(name, group) for name in group.hosts
+            self._holds_shard(name, group) for name in group.hosts
         )
 
-    def _holds(self, name: str, group: GroupView) -> bool:
-        """Tells whether a host is present, stays and holds its shard."""
+    def _holds_shard(self, name: str, group: GroupView) -> bool:
+        """Returns whether a host is up, stays and holds the group's shard."""
         host = self._hosts[name]
         return (
             host.is_up
@@ -225,18 +226,18 @@
             and host.owner == group.name
         )
 
-    def _settle(self) -> None:
-        """Lets groups whose hosts hold all shards serve."""
+    def _start_serving(self) -> None:
+        """Puts loading groups whose hosts hold all shards into service."""
         for group in list(self._groups.values()):
             if group.phase == GroupPhase.LOADING and all(
-                self._holds(name, group) for name in group.hosts
+                self._holds_shard(name, group) for name in group.hosts
             ):
                 self._groups[group.name] = group._replace(
                     phase=GroupPhase.SERVING
                 )
                 self._plan_at = self._now
 
-    def _strike(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         host = self._hosts[fault.host]
         if fault.kind == FaultKind.DOWN:
             host.outages += 1
@@ -265,7 +266,7 @@
             self._schedule(self._now + PRESENCE_LIMIT_S, lambda: None)
 
     def _restart_group(self, host: Host) -> None:
-        """Loads the shard of a restarted host again."""
+        """Reloads the shard of a restarted host."""
         if host.owner:
             group = self._groups[host.owner]
             if group.phase == GroupPhase.SERVING:
@@ -275,7 +276,7 @@
             self._start_load(host)
 
     def _drain(self, name: str) -> None:
-        """Takes a group out of service, since a host of it is leaving."""
+        """Starts to drain a serving group."""
         group = self._groups.get(name)
         if group is not None and group.phase == GroupPhase.SERVING:
             self._groups[name] = group._replace(phase=GroupPhase.DRAINING)
@@ -286,10 +287,10 @@
         return since is None or self._now < since + PRESENCE_LIMIT_S
 
     def _start_load(self, host: Host) -> None:
-        """Loads the shard that the group of a host needs there."""
+        """Starts to load the shard that a host needs in its group."""
         if host.target is None or not host.owner or host.outages:
             return
-        if _is_same(host.shard, host.target):
+        if _has_same_weights(host.shard, host.target):
             host.shard = host.target
             host.remaining = 0.0
             host.ready_at = max(host.ready_at, self._now + START_S)
@@ -305,14 +306,14 @@
         view = self._make_view()
         actions = self._planner.plan(view, self._now)
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
         for name in sorted(self._drained):
-            self._end_group(name)
+            self._remove_group(name)
         self._drained.clear()
         self._plan_at = math.inf
         if actions or any(group.missing for group in view.groups):
-            quiet_s = 0.2 * (self._now - self._changed_at)
-            wait_s = min(max(PLAN_INTERVAL_S, quiet_s), LONGEST_INTERVAL_S)
+            unchanged_s = 0.2 * (self._now - self._changed_at)
+            wait_s = min(max(PLAN_INTERVAL_S, unchanged_s), MAX_PLAN_INTERVAL_S)
             self._plan_at = self._now + wait_s
 
     def _make_view(self) -> PlanInput:
@@ -347,7 +348,7 @@
             missing_since=min(since, default=None),
         )
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, FormGroup):
             self._form(action)
         elif isinstance(action, RepairGroup):
@@ -369,9 +370,9 @@
             missing=(),
             missing_since=None,
         )
-        self._grant(name)
+        self._assign_shards(name)
 
-    def _grant(self, name: str) -> None:
+    def _assign_shards(self, name: str) -> None:
         group = self._groups[name]
         fence = next(self._fences)
         self._groups[name] = group._replace(
@@ -395,11 +396,11 @@
                 size=len(group.hosts),
                 leader="",
             )
-            if not (_is_same(old, host.target) and host.remaining > 0):
+            if not (_has_same_weights(old, host.target) and host.remaining > 0):
                 self._start_load(host)
 
     def _repair(self, action: RepairGroup) -> None:
-        """Replaces hosts; a group that drains is repaired when it is idle."""
+        """Replaces hosts; a draining group is repaired once it is drained."""
         group = self._groups[action.group]
         if group.fence != action.fence:
             raise ValueError(f"{action.group} has another fence")
@@ -409,28 +410,28 @@
             self._drained.remove(group.name)
         for name in group.hosts:
             if name not in action.hosts:
-                self._give_up(name, RELEASE_S)
+                self._detach_host(name, RELEASE_S)
         self._groups[action.group] = group._replace(
             hosts=action.hosts, domain=action.domain
         )
-        self._grant(action.group)
+        self._assign_shards(action.group)
 
     def _dissolve(self, action: DissolveGroup) -> None:
-        """Ends a group, after it drained when it serves."""
+        """Removes a group; a serving group drains first."""
         group = self._groups[action.group]
         if group.phase == GroupPhase.DRAINING:
             return
-        if not self._serves(group):
-            self._end_group(group.name)
+        if not self._is_serving(group):
+            self._remove_group(group.name)
             return
         self._drain(group.name)
 
-    def _end_group(self, name: str) -> None:
-        """Gives up all hosts of a group."""
+    def _remove_group(self, name: str) -> None:
+        """Removes a group and detaches all its hosts."""
         for host in self._groups.pop(name).hosts:
-            self._give_up(host, RELEASE_S)
+            self._detach_host(host, RELEASE_S)
 
-    def _give_up(self, name: str, wait_s: float) -> None:
+    def _detach_host(self, name: str, wait_s: float) -> None:
         host = self._hosts[name]
         host.owner = ""
         host.target = None
@@ -438,7 +439,7 @@
         self._schedule(self._now + wait_s, lambda: self._release(name))
 
     def _release(self, name: str) -> None:
-        """Frees a host once it is up to be emptied."""
+        """Frees a host; one that is down is freed after it is up again."""
         host = self._hosts[name]
         if not host.is_up:
             host.waits_release = True
@@ -448,8 +449,8 @@
         host.free = True
 
 
-def _is_same(held: EngineShard | None, wanted: EngineShard) -> bool:
-    """Tells whether a shard has the weights that another one needs."""
+def _has_same_weights(held: EngineShard | None, wanted: EngineShard) -> bool:
+    """Returns whether a shard has the weights that another one needs."""
     return (
         held is not None
         and held["model"] == wanted["model"]
--- a/bench/groups.py
+++ b/bench/groups.py
@@ -1,29 +1,28 @@
-"""Planner of replica groups against plain planners, in simulated time.
+"""Planner of replica groups compared with baselines, in simulated time.
 
-For each of the example installations of today (50 hosts, three data centres)
-a seeded fault history of `group_history` is replayed by `group_replay`, once
-for each planner: the policy, greedy first fit (a broken group waits for a free
-host of its domain), the same but with broken groups dissolved and formed anew
+For each of the example installations (50 hosts, three data centres) a seeded
+fault history of `group_history` is replayed by `group_replay`, once for each
+planner: the policy, greedy first fit (a broken group waits for a free host of
+its domain), the same but with broken groups dissolved and formed again
 (`recreate`), and the policy without repair across groups (`never_across`).
 Descanso Justo is replayed with the costs of June and with those of January.
 Measured from the first start of the hosts to the end:
 
-* `downtime`: hosts of wanted groups that do not serve, on average over time.
-* `weighted`: the same, times the weight of the model.
-* `stranded`: powered accelerators in no serving group, on average over time.
-  Hosts that no wanted group needs count as well; `stranded_floor` is their
-  part when nothing fails.
-* `cost`: both at the configured costs, a second.
-
-Each result has the median over the seeds of the ratio to greedy first fit
-and the worst; the seeds are 1 to 8, and others were used to improve the
-policy. Shards load at 1 GB/s a host and 4 GB/s altogether; a host that a group
-gave up has lost its shard, unless `keeps_cache`.
-
-`gap_to_optimum` is measured on small cases by `group_optimum`, 200 of them:
-the mean over the cases of the gap to the optimum `IN_PLACE`, where a case in
-which several plans did better counts as zero; `gap_to_lower_bound` is that to
-the optimum `AT_END`.
+* `downtime`: hosts of wanted groups that do not serve, averaged over time.
+* `weighted`: the same, multiplied by the weight of the model.
+* `stranded`: powered accelerators in no serving group, averaged over time.
+  Hosts that no wanted group needs are included; `stranded_floor` is their
+  share when nothing fails.
+* `cost`: `weighted` and `stranded` at the configured costs, per second.
+
+Each comparison has the median and the worst ratio to a baseline over the seeds.
+The seeds are 1 to 8; other seeds were used to improve the policy. Shards load
+at 1 GB/s per host and 4 GB/s in total; a host that a group gave up loses its
+shard, unless `keeps_cache` is set.
+
+`group_optimum` measures `gap_to_optimum` on 200 small cases: the mean gap to
+the optimum `IN_PLACE`, where a case in which several plans did better counts
+as zero; `gap_to_lower_bound` is the gap to the optimum `AT_END`.
 """
 
 from collections.abc import Iterable, Iterator
@@ -59,7 +58,7 @@
 
 
 class Case(NamedTuple):
-    """An installation and the day whose costs hold.
+    """An installation and the day whose costs apply.
 
     Attributes:
       name: name of the case in results
@@ -87,7 +86,7 @@
 
 
 def run(*, quick: bool) -> Iterable[dict[str, object]]:
-    """Yields the measures of each case and the ratios to greedy first fit."""
+    """Yields the measures of each case and the ratios to the baselines."""
     seeds = range(1, 1 + (QUICK_SEEDS if quick else SEEDS))
     days = QUICK_DAYS if quick else DAYS
     for case in CASES:
@@ -137,7 +136,7 @@
 def _replay(
     case: Case, planner: type[GroupPlanner], seeds: range, days: float
 ) -> list[Measure]:
-    """Returns the measures of a planner, seed by seed."""
+    """Returns the measures of a planner, one for each seed."""
     site = load_site(case)
     measures: list[Measure] = []
     for seed in seeds:
@@ -167,7 +166,7 @@
 def _describe(
     case: Case, site: Site, name: str, measured: list[Measure], days: float
 ) -> dict[str, object]:
-    """Returns medians over the seeds, as averages over time."""
+    """Returns medians over the seeds of averages over time."""
     time = days * DAY_S
     return {
         "case": case.name,
@@ -198,8 +197,11 @@
         "weighted": _divide(policy, baseline, "weighted"),
         "stranded": _divide(policy, baseline, "stranded"),
         "cost": [
-            _get_cost(one, site.prices) / _get_cost(other, site.prices)
-            for one, other in zip(policy, baseline, strict=True)
+            _get_cost(policy_measure, site.prices)
+            / _get_cost(baseline_measure, site.prices)
+            for policy_measure, baseline_measure in zip(
+                policy, baseline, strict=True
+            )
         ],
     }
     result: dict[str, object] = {}
@@ -213,8 +215,10 @@
     policy: list[Measure], baseline: list[Measure], key: str
 ) -> list[float]:
     return [
-        getattr(one, key) / getattr(other, key)
-        for one, other in zip(policy, baseline, strict=True)
+        getattr(policy_measure, key) / getattr(baseline_measure, key)
+        for policy_measure, baseline_measure in zip(
+            policy, baseline, strict=True
+        )
     ]
 
 
--- a/bench/key_node.py
+++ b/bench/key_node.py
@@ -1,4 +1,4 @@
-"""A node that claims keys of callers in a log service, for benches."""
+"""Entry node for benches that claims idempotency keys in a log service."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -20,11 +20,11 @@
     def __init__(
         self, *, upstream: str, now: Callable[[], float], log: LogService
     ) -> None:
-        """Makes the node.
+        """Creates the node.
 
         Args:
           upstream: IP:port of the backend server.
-          now: gives the present time in seconds.
+          now: returns the current time in seconds.
           log: log service.
         """
         super().__init__(upstream=upstream, now=now, limited=False)
@@ -42,7 +42,7 @@
 
     @property
     def appends(self) -> int:
-        """Appends since the start."""
+        """Number of appends since the start."""
         return self._keys.appends
 
     async def claim_key(self, name: KeyName) -> KeyVerdict:
@@ -54,5 +54,5 @@
         self._keys.finish(name, outcome)
 
     def list_coroutines(self) -> tuple[Coroutine[Any, Any, None], ...]:
-        """Returns the work of the tasks, to be run in the event loop."""
+        """Returns the coroutines of the tasks, to be run in the event loop."""
         return (self._keys.run(), self._reader.run())
--- a/bench/late_reports.py
+++ b/bench/late_reports.py
@@ -1,4 +1,4 @@
-"""Reports of modelled engines, as late and incomplete as they come."""
+"""Delayed and partly lost reports of modelled engines."""
 
 from collections.abc import Callable
 import random
@@ -18,13 +18,13 @@
 
 
 class LateReports:
-    """Hands load reports, cache events and progress to the nodes."""
+    """Delivers load reports, cache events and progress to the nodes."""
 
     def __init__(self, *, cluster: "entry_model.Cluster", seed: int) -> None:
-        """Keep the cluster.
+        """Create the reports of a cluster.
 
         Args:
-          cluster: nodes and engines.
+          cluster: nodes that receive the reports, and engines.
           seed: seed of the lags and losses.
         """
         self._cluster = cluster
@@ -32,7 +32,7 @@
         self._sequences = [0] * len(cluster.engines)
 
     def report_loads(self) -> None:
-        """Send the load reports of all engines."""
+        """Send the load reports of all engines that are not lost."""
         for number, engine in enumerate(self._cluster.engines):
             if number in self._cluster.lost:
                 continue
@@ -47,13 +47,14 @@
                     "age_ms": int(lag * 1000.0),
                 }
                 self._cluster.at(
-                    self._cluster.now + lag, self._hand_load(node, group, load)
+                    self._cluster.now + lag,
+                    self._make_load_delivery(node, group, load),
                 )
 
-    def _hand_load(
+    def _make_load_delivery(
         self, node: int, group: str, load: Any
     ) -> Callable[[], None]:
-        def hand() -> None:
+        def deliver() -> None:
             self._cluster.policies[node].on_load_report(
                 group, load, self._cluster.now
             )
@@ -61,10 +62,10 @@
                 group, load, self._cluster.now
             )
 
-        return hand
+        return deliver
 
     def report_progress(self) -> None:
-        """Tell how many tokens the answers have."""
+        """Report the number of tokens produced for each request."""
         for number, engine in enumerate(self._cluster.engines):
             if number in self._cluster.lost:
                 continue
@@ -79,7 +80,7 @@
                     )
 
     def report_caches(self) -> None:
-        """Send the cache events since the last time."""
+        """Send the cache events since the previous call."""
         for number, engine in enumerate(self._cluster.engines):
             changes = [(block, True) for block in engine.cache.stored]
             changes += [(block, False) for block in engine.cache.dropped]
@@ -101,16 +102,16 @@
                 lag = self._rng.uniform(*EVENT_LAG_S)
                 self._cluster.at(
                     self._cluster.now + lag,
-                    self._hand_events(node, number, events),
+                    self._make_event_delivery(node, number, events),
                 )
 
-    def _hand_events(
+    def _make_event_delivery(
         self, node: int, number: int, events: list[Any]
     ) -> Callable[[], None]:
-        def hand() -> None:
+        def deliver() -> None:
             policy = self._cluster.policies[node]
             group = self._cluster.endpoints[number].group
             for event in events:
                 policy.on_cache_event(group, event, self._cluster.now)
 
-        return hand
+        return deliver
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,4 +1,4 @@
-"""Servers that name limits, and what they get."""
+"""Backend servers that announce request limits, and checks of their load."""
 
 import asyncio
 import bisect
@@ -12,20 +12,20 @@
 """Length of the windows in which requests are counted."""
 
 FROM_S = 3.0
-"""Time after a server first named a limit from which it has to hold."""
+"""Time after the first announcement of a limit from which it must hold."""
 
 SERVERS = 4
-"""Servers of a run that name limits."""
+"""Number of servers of a run that announce limits."""
 
 
-class _Named(NamedTuple):
-    """A limit that a server names.
+class _ServerLimit(NamedTuple):
+    """A limit that a server announces.
 
     Attributes:
-      server: the server.
-      identifier: its identifier when it began.
-      rate: requests a second.
-      since: when it began.
+      server: stand-in of the server.
+      identifier: identifier of the server at the first announcement.
+      rate: limit in requests per second.
+      since: time of the first announcement, in seconds.
     """
 
     server: SiteServer
@@ -35,60 +35,62 @@
 
 
 class LimitedServers:
-    """Lets servers name limits, and checks what they got."""
+    """Sets limits on some servers, and checks that they are enforced."""
 
     def __init__(self, *, servers: list[SiteServer], seed: int) -> None:
-        """Draw from some servers.
+        """Create a generator of limits without any limit set.
 
         Args:
           servers: all servers of a run.
-          seed: draws which ones, when and how many requests they take; from a
-            generator of its own, so that other draws of a run stay as they
-            are.
+          seed: seed of the choice of servers, times and rates. It seeds a
+            generator of its own, so that other random choices of a run
+            are unaffected.
         """
         self._servers = servers
         self._generator = random.Random(f"limits of {seed}")
-        self._named: list[_Named] = []
+        self._limits: list[_ServerLimit] = []
 
     async def run(self) -> None:
-        """Let servers name limits, one after the other."""
+        """Set limits on random servers, one after the other."""
         generator = self._generator
         for server in generator.sample(self._servers, SERVERS):
             rate = round(generator.uniform(0.2, 6.0), 1)
             server.limit = str(rate)
             since = asyncio.get_running_loop().time()
-            self._named.append(_Named(server, server.server, rate, since))
+            self._limits.append(
+                _ServerLimit(server, server.server, rate, since)
+            )
             await asyncio.sleep(generator.uniform(0.2, 1.5))
 
     def end(self) -> list[str]:
-        """End all limits; return what was wrong, in plain words."""
+        """Remove all limits; return a description of each violation."""
         violations = []
-        for named in self._named:
-            named.server.limit = ""
-            if named.server.server != named.identifier:
-                # It has started again, and its next start names its own.
+        for limit in self._limits:
+            limit.server.limit = ""
+            if limit.server.server != limit.identifier:
+                # A restarted server announces a limit of its own.
                 continue
-            most = count_most(named.server.arrivals, named.since + FROM_S)
-            if most > count_allowed(named.rate):
+            most = count_most(limit.server.arrivals, limit.since + FROM_S)
+            if most > count_allowed(limit.rate):
                 violations.append(
-                    f"{named.identifier} takes {named.rate} a second and got "
+                    f"{limit.identifier} takes {limit.rate} a second and got "
                     f"{most} within {WINDOW_S} s"
                 )
         return violations
 
 
 def count_allowed(rate: float) -> float:
-    """Return how many requests a server may get in a window.
+    """Return how many requests a server may receive in a window.
 
     Args:
-      rate: requests a second that it takes.
+      rate: limit in requests per second.
     """
     return 1.5 * rate * WINDOW_S + 5
 
 
 def count_most(times: list[float], begin: float, end: float = math.inf) -> int:
-    """Return the most of some sorted times in a window between two others."""
-    kept = [one for one in times if begin <= one <= end]
+    """Return the most of the sorted times in any window within a range."""
+    kept = [arrival for arrival in times if begin <= arrival <= end]
     return max(
         (
             number + 1 - bisect.bisect_left(kept, time - WINDOW_S)
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,16 +1,16 @@
 """Resident memory of a serving process.
 
-A platform stand-in runs in this process, and `chervilrock serve` as a process
-of its own, started once before so that its compiled files are in place. VmRSS
-is read from the system: `mb_1024` counts in 1,024 times 1,024 bytes and `mb`
-in a million bytes. Results:
+A platform stand-in runs in this process, and `chervilrock serve` in a process
+of its own, which is started once beforehand so that its compiled files exist.
+VmRSS is read from the system: `mb_1024` is in units of 1,024 times 1,024 bytes
+and `mb` in millions of bytes. Results:
 
-* `idle`: a node that knows its region, with no host and no configuration.
+* `idle`: a node in an empty region, with no host and no configuration.
 * `node_rss_mb_12000`: a node with the state of 12,000 hosts in one region: the
-  host list and the fold of the stream, which it reads of the platform, and the
-  evidence of each host, which it is handed (`bench/memory_node.py`). A node of
-  the target has a fourth of it, so this is an upper bound. Streams of callers
-  are not in it.
+  host list and the fold of the stream, which it reads from the platform, and
+  the evidence of each host, which `memory_node` injects. A node of the target
+  has a quarter of this state, so this is an upper bound. Memory of callers'
+  streams is not included.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
 MAX_MB_1024 = 64.0
 SETTLE_S = 4.0
 
-_KB = 1024
+_BYTES_PER_KB = 1024
 _KB_PER_MB = 1024
 _BYTES_PER_MB = 1_000_000
-_SERVE = "from chervilrock.ui import main; raise SystemExit(main())"
-_NODE = (
+_SERVE_SCRIPT = "from chervilrock.ui import main; raise SystemExit(main())"
+_NODE_SCRIPT = (
     "from chervilrock import ui; ui.leave_out(ui.UNUSED_MODULES); "
     "from bench.memory_node import main; main()"
 )
@@ -47,7 +47,7 @@
 
 
 def run(*, quick: bool) -> Iterable[dict[str, object]]:
-    """Yields the resident memory, idle and with the state of many hosts."""
+    """Returns the resident memory, idle and with the state of many hosts."""
     return asyncio.run(_run(quick))
 
 
@@ -78,7 +78,9 @@
             **_format(state_kb),
             "bound_mb_1024": MAX_MB_1024,
             "met": state_kb / _KB_PER_MB <= MAX_MB_1024,
-            "bytes_per_host": round((state_kb - idle_kb) * _KB / hosts),
+            "bytes_per_host": round(
+                (state_kb - idle_kb) * _BYTES_PER_KB / hosts
+            ),
         },
     ]
 
@@ -86,21 +88,21 @@
 def _format(kilobytes: float) -> dict[str, object]:
     return {
         "mb_1024": round(kilobytes / _KB_PER_MB, 1),
-        "mb": round(kilobytes * _KB / _BYTES_PER_MB, 1),
+        "mb": round(kilobytes * _BYTES_PER_KB / _BYTES_PER_MB, 1),
     }
 
 
 def measure_idle(platform: str) -> int:
-    """Returns the kilobytes of a node that has nothing to do.
+    """Returns the resident memory of an idle node in kilobytes of 1,024 bytes.
 
     Raises:
-      RuntimeError: The node did not come up.
+      RuntimeError: The node did not start.
     """
     with subprocess.Popen(
         [
             sys.executable,
             "-c",
-            _SERVE,
+            _SERVE_SCRIPT,
             "serve",
             "--node=entry-0",
             "--listen=127.0.0.1:0",
@@ -123,7 +125,7 @@
 
 
 def _make_environment() -> dict[str, str]:
-    """Returns the environment of a process that may write compiled files."""
+    """Returns an environment in which Python writes compiled files."""
     kept = {
         name: value
         for name, value in os.environ.items()
@@ -154,16 +156,16 @@
 
 
 def measure_state(platform: str, hosts: int) -> int:
-    """Returns the kilobytes of a node with the state of many hosts."""
-    ended = subprocess.run(
-        [sys.executable, "-c", _NODE, platform, str(hosts)],
+    """Returns the resident memory in kilobytes of a node with many hosts."""
+    completed = subprocess.run(
+        [sys.executable, "-c", _NODE_SCRIPT, platform, str(hosts)],
         cwd=_ROOT,
         env=_make_environment(),
         capture_output=True,
         text=True,
         check=True,
     )
-    return int(ended.stdout)
+    return int(completed.stdout)
 
 
 def read_rss_kb(process: int) -> int:
@@ -172,4 +174,4 @@
     for line in status.splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1])
-    raise RuntimeError("the system does not tell VmRSS")
+    raise RuntimeError("the process status has no VmRSS line")
--- a/bench/memory_node.py
+++ b/bench/memory_node.py
@@ -1,11 +1,11 @@
-"""A node in a process of its own that learns the state of many hosts.
-
-Helper of the bench `memory`; run with the address of a platform and a number
-of hosts, which stand in its host list and in groups in its log. The node is
-the one of the product and reads both. Its own probes and reads of load reports
-are refused, since no node asks so many hosts and these here do not exist; it
-is handed the evidence of each host instead. It prints its resident memory in
-kilobytes of 1,024 bytes.
+"""Entry node in a process of its own that holds the state of many hosts.
+
+Helper of the bench `memory`. Its arguments are the address of a platform and
+the number of hosts that the platform has in its host list and in the groups of
+its log. The product's own node reads both. Its probes and reads of load reports
+are rejected, since no real node probes so many hosts and these do not exist;
+the evidence of each host is injected instead. The process prints its resident
+memory in kilobytes of 1,024 bytes.
 """
 
 import asyncio
@@ -26,15 +26,15 @@
 from chervilrock.tasks.clock import read_clock
 from chervilrock.tasks.messages import HostProbed
 
-PROBES_AT_ONCE = 500
+PROBES_PER_BATCH = 500
 PAUSE_S = 0.2
 SETTLE_S = 6.0
-LEAST_SHARE = 0.9
-"""Least share of the hosts that stand in groups."""
+MIN_GROUPED_SHARE = 0.9
+"""Minimum share of the hosts that must belong to groups."""
 
 
 def main() -> None:
-    """Runs a node and prints its memory."""
+    """Runs a node and prints its resident memory."""
     address, hosts = sys.argv[1:]
     asyncio.run(_run(address, int(hosts)))
 
@@ -42,8 +42,8 @@
 async def _run(address: str, hosts: int) -> None:
     configure_logging("json", "ERROR")
     engine: Any = PolledModelEngine
-    engine.read_state = _refuse
-    engine.read_load = _refuse
+    engine.read_state = _reject_read
+    engine.read_load = _reject_read
     settings = NodeSettings(
         node="entry-0",
         listen="127.0.0.1:0",
@@ -54,39 +54,39 @@
     node = EntryNode(settings=settings)
     await node.start()
     await asyncio.sleep(SETTLE_S)
-    await _give_evidence(node, hosts)
+    await _inject_evidence(node, hosts)
     await asyncio.sleep(SETTLE_S)
     print(read_rss_kb(), flush=True)
     await node.kill()
 
 
-async def _refuse(_engine: PolledModelEngine, _address: str) -> Any:
+async def _reject_read(_engine: PolledModelEngine, _address: str) -> Any:
     return Failure(PlatformError(PlatformErrorKind.REFUSED, "not probed"))
 
 
 def read_rss_kb() -> int:
-    """Returns the resident memory of this process."""
+    """Returns the resident memory of this process in kilobytes."""
     with open("/proc/self/status", encoding="ascii") as status:
         for line in status:
             if line.startswith("VmRSS:"):
                 return int(line.split()[1])
-    raise RuntimeError("the system does not tell VmRSS")
+    raise RuntimeError("the process status has no VmRSS line")
 
 
-async def _give_evidence(node: EntryNode, hosts: int) -> None:
-    """Hands the answers of all engines to the region task of a node."""
+async def _inject_evidence(node: EntryNode, hosts: int) -> None:
+    """Injects the probe answers of all engines into a node's region task."""
     region = node._parts.region
-    given = 0
+    injected = 0
     for group in region._region.groups.values():
         for rank, host in enumerate(group.hosts):
             now = read_clock()
             state = decode_state(_make_state(group, rank))
             region.inbox.offer(HostProbed(host, state, now, now))
-            given += 1
-        if given % PROBES_AT_ONCE < len(group.hosts):
+            injected += 1
+        if injected % PROBES_PER_BATCH < len(group.hosts):
             await asyncio.sleep(PAUSE_S)
-    if given < hosts * LEAST_SHARE:
-        raise RuntimeError(f"the node knows {given} hosts of groups only")
+    if injected < hosts * MIN_GROUPED_SHARE:
+        raise RuntimeError(f"the node knows {injected} hosts of groups only")
 
 
 def _make_state(group: Group, rank: int) -> EngineState:
--- a/bench/open_admission.py
+++ b/bench/open_admission.py
@@ -1,4 +1,4 @@
-"""Admission that lets everything through, to compare with."""
+"""Admission without limits, as a baseline for comparisons."""
 
 from chervilrock.decisions.limits import admission as admissions
 from chervilrock.decisions.limits import verdicts
@@ -6,7 +6,7 @@
 
 
 class OpenAdmission(admissions.Admission):
-    """Admits every request at once and keeps no limit."""
+    """Admits every request immediately, without limits."""
 
     def offer(self, request: base.RequestView, now: float) -> verdicts.Verdict:
         """Admit a request."""
@@ -16,7 +16,7 @@
     def release(
         self, request_id: str, now: float, ok: bool, *, tokens: int = 0
     ) -> tuple[str, ...]:
-        """Do nothing."""
+        """Admit nothing further, since no request waits."""
         del request_id, now, ok, tokens
         return ()
 
