--- a/bench/entry_model.py
+++ b/bench/entry_model.py
@@ -329,8 +329,8 @@
                 self.admissions[node].observe_hedge(
                     request.view.request_id, number == request.hedge, now
                 )
-            for other in [n for n in request.attempts if n != number]:
-                self._cancel(request, other)
+            for attempt in [n for n in request.attempts if n != number]:
+                self._cancel(request, attempt)
 
     def _handle_last_token(self, number: int) -> None:
         request = self.requests.get(number)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -38,7 +38,7 @@
     """Sets limits on some servers, and checks that they are enforced."""
 
     def __init__(self, *, servers: list[SiteServer], seed: int) -> None:
-        """Create a generator of limits without any limit set.
+        """Create the limits of a run, none of them set yet.
 
         Args:
           servers: all servers of a run.
