--- a/bench/history.py
+++ b/bench/history.py
@@ -1,19 +1,29 @@
-"""What callers see of nodes that are stopped, frozen and killed under load.
-
-Six entry nodes run as processes of their own; stand-ins, callers and an
-operator run in this one and note every event. Under load, and each more than
-once: the controller gets SIGSTOP until another node has taken over, and then
-SIGCONT; nodes get SIGKILL, with a host of a group or alone, and are replaced;
-nodes get SIGTERM; the log loses answers and is out for longer than a lease
-while a node dies; operators race each other; a server is said to leave; at
-last all nodes get SIGKILL at once and others take their place.
-
-* `operations`, `requests`, `executions`: what callers asked for, what they
-  sent for it, and what the backend servers ran.
-* `ended`: how the operations ended for their callers.
-* `events`: how often each kind of event happened.
-* `broken`: promises that the checks found broken, and how often.
-* `verdict`: `holds` when there are none.
+"""Check guarantees to callers while nodes are stopped, frozen and killed.
+
+Six entry nodes run as separate processes; stand-ins, callers and an operator
+run in this one and record every event. The run injects these faults under
+load, most of them more than once:
+
+* The controller gets SIGSTOP until another node has taken over, then SIGCONT.
+* Nodes get SIGKILL, alone or together with a host of a group, and are
+  replaced.
+* Nodes get SIGTERM.
+* The log loses answers, and is unavailable for longer than a lease while a
+  node is killed.
+* Operators apply concurrently on the same base revision.
+* The host list marks a host and a server as leaving.
+* At the end all nodes get SIGKILL at once and three new ones start.
+
+The result has these fields:
+
+* `operations`, `requests`, `executions`: operations of the callers, requests
+  that they sent for them, and requests that the backend servers ran.
+* `ended`: outcomes of the operations for their callers.
+* `events`: number of events of each kind.
+* `broken`: number of violations of each guarantee.
+* `findings`: the first violations, as text.
+* `verdict`: `holds` when there are no violations.
+* `seconds`: duration of the run.
 """
 
 import asyncio
@@ -36,15 +46,15 @@
 QUICK_OPERATIONS = 600
 SEED = 5
 LIMIT_S = 60.0
-STEP = 0.06
-"""Share of the load between two failures."""
+PROGRESS_SHARE = 0.06
+"""Share of the load that is completed between two faults."""
 
 OUTAGE_S = 4.0
 SHOWN_FINDINGS = 5
 
 
 def run(*, quick: bool) -> Iterable[dict[str, object]]:
-    """Yields the counts of one run and its verdict."""
+    """Yield the counts and the verdict of one run."""
     begin = time.monotonic()
     least = QUICK_OPERATIONS if quick else OPERATIONS
     site = asyncio.run(run_site(least))
@@ -57,15 +67,15 @@
         "executions": events["Executed"],
         "ended": count_told(entries),
         "events": events,
-        "broken": Counter(one.promise.name for one in findings),
-        "findings": [one.message for one in findings[:SHOWN_FINDINGS]],
+        "broken": Counter(finding.promise.name for finding in findings),
+        "findings": [finding.message for finding in findings[:SHOWN_FINDINGS]],
         "verdict": "broken" if findings else "holds",
         "seconds": round(time.monotonic() - begin, 1),
     }
 
 
 async def run_site(least: int) -> ProcessSite:
-    """Return a site after its run, which is bounded in time."""
+    """Run a site within the time limit and return it."""
     site = ProcessSite(least=least, seed=SEED)
     async with asyncio.timeout(LIMIT_S):
         await site.run(cause_faults)
@@ -73,8 +83,8 @@
 
 
 async def cause_faults(site: ProcessSite) -> None:
-    """Cause one failure after the other, and some together."""
-    await site.wait_progress(STEP)
+    """Inject the faults one after the other, some of them combined."""
+    await site.wait_progress(PROGRESS_SHARE)
     for turn in range(2):
         await freeze_controller(site)
         await kill_node_and_host(site)
@@ -91,7 +101,7 @@
     site.freeze_node(controller)
     await site.wait_controller_but(controller)
     site.resume_node(controller)
-    await site.wait_progress(STEP)
+    await site.wait_progress(PROGRESS_SHARE)
 
 
 async def kill_node_and_host(site: ProcessSite) -> None:
@@ -100,14 +110,14 @@
     site.installation.kill_host(host)
     await site.kill_node(site.generator.choice(site.nodes))
     await site.start_node()
-    await site.wait_progress(STEP)
+    await site.wait_progress(PROGRESS_SHARE)
     await site.installation.return_hosts([host])
 
 
 async def stop_node(site: ProcessSite) -> None:
     """Stop the controller gracefully while another node is frozen."""
     controller = await site.find_controller()
-    frozen = next(one for one in site.nodes if one is not controller)
+    frozen = next(node for node in site.nodes if node is not controller)
     stopping = asyncio.create_task(site.stop_node(controller))
     site.freeze_node(frozen)
     await site.wait_controller_but(controller)
@@ -117,7 +127,7 @@
 
 
 async def race_operators(site: ProcessSite, turn: int) -> None:
-    """Let an operator at each node apply on the same base."""
+    """Apply concurrently at every running node on the same base revision."""
     site.installation.add_log_fault(FaultKind.LOSE_ANSWER, 0.1)
     base = await site.read_revision()
     await asyncio.gather(
@@ -135,7 +145,7 @@
 
 
 async def lose_log(site: ProcessSite) -> None:
-    """Kill the controller while the log is out for longer than a lease."""
+    """Kill the controller during a log outage longer than a lease."""
     await site.wait_serving(GROUPS)
     site.installation.add_log_fault(FaultKind.OUTAGE)
     await site.kill_node(await site.find_controller())
@@ -146,7 +156,7 @@
 
 
 async def leave_server(site: ProcessSite) -> None:
-    """Let the host list say that servers leave."""
+    """Mark a server and a host of a group as leaving in the host list."""
     name = next(iter(site.installation.services))
     site.installation.mark_service_leaving(name)
     site.installation.mark_leaving((await site.find_group("alpha"))[0])
@@ -154,8 +164,8 @@
 
 
 async def replace_all(site: ProcessSite) -> None:
-    """Kill all nodes at once and start as many others."""
-    await asyncio.gather(*(site.kill_node(one) for one in list(site.nodes)))
+    """Kill all nodes at once and start three new ones."""
+    await asyncio.gather(*(site.kill_node(node) for node in list(site.nodes)))
     await asyncio.gather(*(site.start_node() for _ in range(3)))
     await site.wait_serving(GROUPS)
-    await site.wait_progress(STEP)
+    await site.wait_progress(PROGRESS_SHARE)
--- a/bench/history_client.py
+++ b/bench/history_client.py
@@ -9,17 +9,17 @@
 TIMEOUT_S = 30.0
 STATUS_OK = 200
 
-_UNSENT = frozenset({pycurl.E_COULDNT_CONNECT})
+_UNSENT_ERRORS = frozenset({pycurl.E_COULDNT_CONNECT})
 
 
 class Answer(NamedTuple):
-    """What the HTTP client got of one request.
+    """The result of one HTTP request.
 
     Attributes:
-      status: status, 0 when the connection broke
-      outcome: value of the header X-Outcome, empty when it is missing
-      unsent: whether there was no connection
-      error: what broke
+      status: HTTP status, 0 when the connection failed
+      outcome: value of the header X-Outcome, empty if missing
+      unsent: whether no connection could be opened
+      error: description of the connection failure
     """
 
     status: int
@@ -30,7 +30,7 @@
 
 
 class _QuietClient(CurlAsyncHTTPClient):
-    """A client that may be closed while requests are under way."""
+    """A client that may be closed while requests are in progress."""
 
     def _handle_timeout(self) -> None:
         if self._multi is not None:
@@ -38,10 +38,10 @@
 
 
 class CallerClient:
-    """Sends each request once, on a connection of its own."""
+    """Sends each request once, on a new connection."""
 
     def __init__(self) -> None:
-        """Make a client for the running event loop."""
+        """Create a client for the running event loop."""
         self._client = _QuietClient(force_instance=True, max_clients=512)
 
     def close(self) -> None:
@@ -57,7 +57,7 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = TIMEOUT_S,
     ) -> Answer:
-        """Send a request and return its answer, whatever became of it."""
+        """Send a request and return its answer or its connection failure."""
         request = HTTPRequest(
             url,
             method=method,
@@ -68,18 +68,18 @@
             follow_redirects=False,
             decompress_response=False,
             allow_nonstandard_methods=True,
-            prepare_curl_callback=_use_once,
+            prepare_curl_callback=_disable_reuse,
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
         except HTTPClientError as error:
             number = error.errno if isinstance(error, CurlError) else 0
-            return Answer(0, b"", "", number in _UNSENT, str(error))
+            return Answer(0, b"", "", number in _UNSENT_ERRORS, str(error))
         outcome = response.headers.get("X-Outcome", "")
         return Answer(response.code, response.body, outcome)
 
 
-def _use_once(curl: pycurl.Curl) -> None:
+def _disable_reuse(curl: pycurl.Curl) -> None:
     curl.setopt(pycurl.NOPROXY, "*")
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
--- a/bench/history_installation.py
+++ b/bench/history_installation.py
@@ -74,10 +74,11 @@
 
 
 def make_hosts(fenced: bool) -> HostList:
-    """Return hosts and servers of the plain service.
+    """Return the host list, with the servers of the plain service.
 
     Args:
-      fenced: whether all hosts check fencing numbers; else every second one.
+      fenced: whether all hosts check fencing numbers; otherwise every
+        second host does.
     """
     hosts = []
     for number in range(len(DATA_CENTRES) * DOMAIN_SIZE):
@@ -107,7 +108,7 @@
 
 
 class RecordedInstallation(Installation):
-    """Stand-ins that note what they do and which failures are caused."""
+    """Stand-ins that record their events and the injected faults."""
 
     def __init__(
         self,
@@ -117,13 +118,15 @@
         blind: bool = False,
         latency_ms: float = 5.0,
     ) -> None:
-        """Make stand-ins that do not listen yet.
+        """Create stand-ins that do not listen yet.
 
         Args:
-          history: takes the events.
+          history: history that records the events.
           fenced: whether all hosts check fencing numbers.
-          blind: whether the hosts of a group do not notice the loss of one.
-          latency_ms: time of a call of the plain service.
+          blind: whether the hosts of a group fail to detect the loss of
+            one of them.
+          latency_ms: latency of a call to the plain service, in
+            milliseconds.
         """
         hosts = make_hosts(fenced)
         super().__init__(hosts=hosts, models=MODELS, engine_options=ENGINE)
@@ -154,7 +157,7 @@
         super().kill_host(host)
 
     async def return_hosts(self, hosts: Iterable[str] = ()) -> None:
-        """Let these hosts, or all, come back empty where they are dead."""
+        """Restart the dead ones of these hosts, or of all, without a model."""
         for host in hosts or self.engines:
             if not self.engines[host].alive:
                 await self.return_host(host)
@@ -165,7 +168,7 @@
         self.engines[host].faults.set_paused(True)
 
     def resume_host(self, host: str) -> None:
-        """Let a frozen host go on."""
+        """Resume a frozen host."""
         self.engines[host].faults.set_paused(False)
         self._history.note(Resumed(host))
 
@@ -175,7 +178,7 @@
         super().mark_leaving(host)
 
     def mark_service_leaving(self, name: str) -> None:
-        """Let the host list say that a server is leaving."""
+        """Mark a server of the plain service as leaving in the host list."""
         address = self.services[name].address
         self._history.note(Leaving(address))
         listed = self.platform.list_hosts()["services"]
@@ -187,19 +190,19 @@
         self.platform.add_hosts((), entries)
 
     def add_faults(self, *kinds: FaultKind, **rule: Any) -> None:
-        """Let all engines and services show faults."""
+        """Inject faults into all engines and plain services."""
         for kind in kinds:
             for server in self._list_servers():
                 entry: Any = {"kind": kind, **rule}
                 server.faults.add(entry)
 
     def add_log_fault(self, kind: FaultKind, probability: float = 1.0) -> None:
-        """Let the log service show a fault."""
+        """Inject a fault into the log service."""
         rule = FaultRule(kind=kind, path="/log", probability=probability)
         self.platform.faults.add(rule)
 
     def clear_faults(self) -> None:
-        """Let no server of a plain service and no engine show a fault."""
+        """Remove the faults of all engines and plain services."""
         for server in self._list_servers():
             server.faults.clear()
 
--- a/bench/history_load.py
+++ b/bench/history_load.py
@@ -11,11 +11,11 @@
 from chervilrock.standin.history import History
 
 PAUSE_S = 0.15
-"""Time between two operations of a caller beyond the least load."""
+"""Delay between the operations of a caller after the least load is done."""
 
 
 class Load:
-    """Callers who go on until they are told to finish.
+    """Callers that send operations until `finish` is called.
 
     Attributes:
       least: least number of operations
@@ -33,14 +33,14 @@
         callers: int,
         least: int,
     ) -> None:
-        """Make callers who have sent nothing yet.
+        """Create callers that have sent nothing yet.
 
         Args:
           name: name of the run.
-          history: takes what they send and get.
-          client: sends it.
-          generator: source of all choices.
-          seeds: addresses that callers are given, as they are at any time.
+          history: history that records their requests and answers.
+          client: HTTP client that sends the requests.
+          generator: source of all random choices.
+          seeds: addresses of nodes for the callers; the list may change.
           callers: number of callers.
           least: least number of operations.
         """
@@ -59,7 +59,7 @@
         )
 
     def finish(self) -> None:
-        """Let the callers end once the least load is done."""
+        """Stop the callers once the least load is done."""
         self._finishing = True
 
     def make_caller(self, number: int = 0) -> Caller:
@@ -70,10 +70,10 @@
         )
 
     async def run(self) -> None:
-        """Send operations until the end."""
+        """Send operations until `finish` is called and the load is done."""
         callers = [self.make_caller(number) for number in range(self._callers)]
         await asyncio.gather(
-            *(self._run_caller(one, self._operations) for one in callers)
+            *(self._run_caller(caller, self._operations) for caller in callers)
         )
 
     async def _run_caller(
--- a/bench/history_operations.py
+++ b/bench/history_operations.py
@@ -1,4 +1,4 @@
-"""Operations of callers in recorded runs, and what their answers mean."""
+"""Operations of callers in recorded runs, and checks of their answers."""
 
 from collections.abc import Iterator
 import itertools
@@ -20,7 +20,8 @@
     """A kind of operation.
 
     Attributes:
-      path: path of a completion, or of a plain service with `{}` for its name
+      path: path of a completion, or of a plain service with `{}` in place
+        of its name
       streamed: whether the answer is a stream of events
     """
 
@@ -53,11 +54,11 @@
 
 
 ONCE = frozenset({Repeats.WITH_TICKET, Repeats.WITH_KEY})
-"""What a caller may repeat although it runs at most once."""
+"""Kinds of operations that run at most once and may yet be retried."""
 
 
 class Names(NamedTuple):
-    """What callers may ask for."""
+    """Names that operations may use."""
 
     models: tuple[str, ...]
     services: tuple[str, ...]
@@ -65,7 +66,7 @@
 
 
 class Operation(NamedTuple):
-    """One request of a caller, which may take several tries."""
+    """One operation of a caller, which may take several attempts."""
 
     number: int
     kind: Kind
@@ -77,23 +78,26 @@
 def make_operations(
     names: Names, generator: random.Random
 ) -> Iterator[Operation]:
-    """Yield a mixed load without end."""
+    """Yield an endless mix of operations."""
     kinds = [kind for kind, _ in KINDS]
     weights = [weight for _, weight in KINDS]
     for number in itertools.count(1):
         kind = generator.choices(kinds, weights)[0]
-        asked = names.models if kind.is_completion else names.services
+        candidates = names.models if kind.is_completion else names.services
         yield Operation(
             number=number,
             kind=kind,
-            name=generator.choice(asked),
+            name=generator.choice(candidates),
             workspace=generator.choice(names.workspaces),
             tokens=generator.randint(*MAX_TOKENS),
         )
 
 
 def make_body(operation: Operation, attempt: int) -> dict[str, Any]:
-    """Return the body of a completion, alike in all tries of what runs once."""
+    """Return the body of a completion.
+
+    It is the same in all attempts of an operation that runs at most once.
+    """
     if operation.kind.repeats in ONCE:
         attempt = 0
     mark = make_mark(operation.number, attempt)
@@ -109,10 +113,10 @@
 
 
 class Judged(NamedTuple):
-    """What an answer means for its caller.
+    """The result of checking an answer.
 
     Attributes:
-      wait_s: time to wait before the next try, in seconds
+      wait_s: time to wait before the next attempt, in seconds
     """
 
     told: Told
@@ -123,7 +127,7 @@
 def judge(
     operation: Operation, body: dict[str, Any] | None, answer: Answer
 ) -> Judged:
-    """Compare an answer with the one that the operation must get."""
+    """Compare an answer with the expected one of the operation."""
     if answer.status == 0:
         told = Told.REFUSED if answer.unsent else Told.NOTHING
         return Judged(told, answer.error)
@@ -150,9 +154,9 @@
         fields = dict(line.partition(": ")[::2] for line in block.split("\n"))
         data = fields.get("data", "")
         if fields.get("event") == "error":
-            ours = expected.startswith(text)
+            is_prefix = expected.startswith(text)
             foreign = Judged(Told.FOREIGN, text[-80:])
-            return read_error(data.encode()) if ours else foreign
+            return read_error(data.encode()) if is_prefix else foreign
         if data == "[DONE]":
             whole = text == expected
             return Judged(Told.WHOLE if whole else Told.FOREIGN, text[-80:])
@@ -174,7 +178,7 @@
 
 
 def read_error(body: bytes) -> Judged:
-    """Return what an error tells its caller."""
+    """Return the result that an error body reports."""
     detail = json.loads(body)["error"]
     wait_s = min(LONGEST_PAUSE_S, detail["retry_after_ms"] / 1000)
     told = Told(detail["outcome"])
--- a/bench/history_operators.py
+++ b/bench/history_operators.py
@@ -1,4 +1,4 @@
-"""An operator who notes in a history what nodes tell."""
+"""An operator that records the answers of nodes in a history."""
 
 import msgspec
 
@@ -21,7 +21,7 @@
     """Applies configurations and reads the status of nodes."""
 
     def __init__(self, *, history: History, client: CallerClient) -> None:
-        """Make an operator who has asked nothing yet."""
+        """Create an operator that has sent nothing yet."""
         self._history = history
         self._client = client
 
@@ -31,10 +31,10 @@
         """Apply a configuration.
 
         Args:
-          address: node that gets it.
+          address: address of the node that receives it.
           name: name of the operator, used for this one configuration.
           base: revision that it replaces.
-          version: version of the model alpha in it.
+          version: version of the model alpha in the configuration.
         """
         body = {
             "base_revision": base,
@@ -48,15 +48,15 @@
         )
         told = ApplyTold(name, None, 0)
         if answer.status in (STATUS_OK, _STATUS_CONFLICT):
-            said = msgspec.json.decode(answer.body)
-            told = ApplyTold(name, said["accepted"], said["revision"])
+            decoded = msgspec.json.decode(answer.body)
+            told = ApplyTold(name, decoded["accepted"], decoded["revision"])
         elif answer.outcome == Outcome.NOT_RUN:
             told = ApplyTold(name, False, 0)
         self._history.note(told)
         return told
 
     async def read_status(self, address: str) -> StatusAnswer | None:
-        """Return what a node says, None when it does not answer."""
+        """Return the status of a node, None when it does not answer."""
         answer = await self._client.send(
             "GET", f"http://{address}/admin/status", timeout_s=STATUS_TIMEOUT_S
         )
@@ -74,7 +74,7 @@
 
 
 def list_serving(status: StatusAnswer, model: str = "") -> list[GroupStatus]:
-    """Return the groups that serve and miss no host."""
+    """Return the serving groups without missing hosts."""
     return [
         group
         for group in status["groups"]
--- a/bench/history_processes.py
+++ b/bench/history_processes.py
@@ -1,4 +1,4 @@
-"""Entry nodes as processes of the operating system."""
+"""Entry nodes that run as operating system processes."""
 
 import asyncio
 import contextlib
@@ -18,22 +18,23 @@
 
 
 class NodeProcess:
-    """One `chervilrock serve`.
+    """A process that runs `chervilrock serve`.
 
     Attributes:
       name: identifier of the node
       address: IP:port, known after `start`
       running: whether it is neither stopped nor frozen
-      cut: requests in progress when it stopped, as it logged, None before
+      cut: logged number of requests in progress when it stopped, None
+        before
     """
 
     def __init__(self, *, number: int, platform: str, peers: str) -> None:
-        """Make a node that does not run yet.
+        """Create a node that does not run yet.
 
         Args:
-          number: tells nodes apart.
+          number: unique number of the node, also its seed.
           platform: address of the platform.
-          peers: addresses of other nodes with commas between.
+          peers: comma-separated addresses of other nodes.
         """
         self.name = f"entry-{number}"
         self.address = ""
@@ -57,7 +58,7 @@
         }
         self._started = asyncio.Event()
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._log_reader: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Start the process and wait until it listens."""
@@ -71,39 +72,39 @@
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
         )
-        self._reading = asyncio.create_task(self._read())
+        self._log_reader = asyncio.create_task(self._read_log())
         async with asyncio.timeout(START_LIMIT_S):
             await self._started.wait()
         self.running = True
 
     def freeze(self) -> None:
-        """Let the process do nothing."""
+        """Suspend the process by SIGSTOP."""
         self.running = False
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the process by SIGCONT."""
         self._signal(signal.SIGCONT)
         self.running = True
 
     async def kill(self) -> None:
-        """Let the process die at once."""
+        """Kill the process by SIGKILL."""
         self.running = False
         self._signal(signal.SIGKILL)
         await self._wait()
 
     async def stop(self) -> int:
-        """Let the process stop gracefully; return its exit code."""
+        """Stop the process gracefully by SIGTERM; return its exit code."""
         self.running = False
         self._signal(signal.SIGTERM)
         return await self._wait()
 
     async def _wait(self) -> int:
         assert self._process is not None
-        assert self._reading is not None
+        assert self._log_reader is not None
         async with asyncio.timeout(STOP_LIMIT_S):
             code = await self._process.wait()
-            await self._reading
+            await self._log_reader
         return code
 
     def _signal(self, number: signal.Signals) -> None:
@@ -111,15 +112,15 @@
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(number)
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         """Read the log of the process to its end."""
         assert self._process is not None
         assert self._process.stderr is not None
         async for line in self._process.stderr:
             with contextlib.suppress(ValueError):
-                self._take(json.loads(line))
+                self._handle_entry(json.loads(line))
 
-    def _take(self, entry: dict[str, Any]) -> None:
+    def _handle_entry(self, entry: dict[str, Any]) -> None:
         if entry.get("event") == "node-started":
             self.address = entry["address"]
             self._started.set()
--- a/bench/history_site.py
+++ b/bench/history_site.py
@@ -1,4 +1,4 @@
-"""Stand-ins, callers and entry nodes that are processes of their own."""
+"""Stand-ins, callers and entry nodes that run as separate processes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,23 +25,23 @@
 
 CALLERS = 24
 NODES = 6
-UNKNOWN_CUT = 1
-"""Taken for the requests that a node cut that did not stop as it should."""
+ASSUMED_CUT = 1
+"""Assumed number of cut requests of a node that did not stop properly."""
 
 
 class ProcessSite(Watch[NodeProcess]):
-    """An installation whose nodes can be stopped by signals.
+    """An installation whose nodes are controlled by signals.
 
     Attributes:
       nodes: the nodes that have not ended
     """
 
     def __init__(self, *, least: int, seed: int) -> None:
-        """Make a site of which nothing runs yet.
+        """Create a site that does not run yet.
 
         Args:
           least: least number of operations.
-          seed: seed of all choices.
+          seed: seed of all random choices.
         """
         self.history = History()
         self.generator = random.Random(seed)
@@ -68,7 +68,7 @@
     async def run(
         self, cause_faults: "Callable[[ProcessSite], Awaitable[None]]"
     ) -> None:
-        """Run load and faults to their end."""
+        """Run the load and inject the faults until both are finished."""
         try:
             await self._start()
             sampling = asyncio.create_task(self.sample())
@@ -110,18 +110,18 @@
         return node
 
     async def kill_node(self, node: NodeProcess) -> None:
-        """Let a node die, running or frozen."""
+        """Kill a running or frozen node."""
         self.nodes.remove(node)
         self.history.note(Killed(node.address))
         await node.kill()
 
     def freeze_node(self, node: NodeProcess) -> None:
-        """Let a node do nothing."""
+        """Freeze a node."""
         self.history.note(Frozen(node.address))
         node.freeze()
 
     def resume_node(self, node: NodeProcess) -> None:
-        """Let a frozen node go on."""
+        """Resume a frozen node."""
         node.resume()
         self.history.note(Resumed(node.address))
 
@@ -130,11 +130,11 @@
         self.nodes.remove(node)
         self.history.note(StopBegan(node.address))
         code = await node.stop()
-        cut = UNKNOWN_CUT if code or node.cut is None else node.cut
+        cut = ASSUMED_CUT if code or node.cut is None else node.cut
         self.history.note(StopEnded(node.address, cut))
 
     async def apply_next(self, name: str) -> ApplyTold:
-        """Apply a configuration in the place of the newest one."""
+        """Apply a configuration on top of the newest revision."""
         base = await self.read_revision()
         node = self.generator.choice(self.list_running())
         return await self.operator.apply(node.address, name=name, base=base)
--- a/bench/history_watch.py
+++ b/bench/history_watch.py
@@ -1,4 +1,4 @@
-"""Waits for what a script needs to see before it goes on."""
+"""Conditions that fault scripts wait for."""
 
 import abc
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class WaitError(Exception):
-    """What a script waited for did not come."""
+    """An awaited condition did not hold within the limit."""
 
 
 class RunningNode(Protocol):
@@ -41,12 +41,12 @@
 
 
 class Watch(abc.ABC, Generic[Node]):
-    """What a script waits for in a site.
+    """Waits for conditions of a site.
 
     Attributes:
-      history: takes what nodes tell
+      history: history that records the answers of nodes
       installation: the stand-ins
-      operator: asks the nodes
+      operator: operator that reads the status of nodes
       load: the callers
     """
 
@@ -60,7 +60,7 @@
         """Return the nodes that are not frozen."""
 
     async def sample(self) -> None:
-        """Read the status of all nodes again and again."""
+        """Read the status of all running nodes periodically."""
         while True:
             for node in self.list_running():
                 await self.operator.read_status(node.address)
@@ -68,16 +68,23 @@
 
     async def read_revision(self) -> int:
         """Return the greatest revision that a node has in force."""
-        seen = [
+        statuses = [
             await self.operator.read_status(node.address)
             for node in self.list_running()
         ]
-        return max(one["revision"] for one in seen if one is not None)
+        return max(
+            status["revision"] for status in statuses if status is not None
+        )
 
     async def find_status(
         self, is_wanted: Callable[[StatusAnswer], bool], otherwise: str
     ) -> StatusAnswer:
-        """Return the first status of a running node that is as wanted."""
+        """Return the first status of a running node that meets a condition.
+
+        Args:
+          is_wanted: the condition.
+          otherwise: error message when no status meets it in time.
+        """
         found: list[StatusAnswer] = []
 
         async def is_found() -> bool:
@@ -116,14 +123,14 @@
         return tuple(list_serving(status, model)[0]["hosts"])
 
     async def wait_serving(self, groups: int) -> None:
-        """Wait until a number of groups serve, as a node says."""
+        """Wait until a node reports that a number of groups serve."""
         await self.find_status(
             lambda status: len(list_serving(status)) >= groups,
             "the groups do not serve",
         )
 
     async def wait_missing(self, host: str) -> None:
-        """Wait until no group with a host serves, as a node says."""
+        """Wait until a node reports no serving group with a host."""
         await self.find_status(
             lambda status: (
                 not any(
@@ -134,7 +141,7 @@
         )
 
     async def wait_age(self, kind: type, age_s: float) -> None:
-        """Wait until the last event of a kind has an age."""
+        """Wait until the last event of a kind has reached an age."""
 
         async def is_old() -> bool:
             return not any(
@@ -164,7 +171,7 @@
         log.trim(found[-1] + 1)
 
     async def wait_progress(self, share: float) -> None:
-        """Wait until a share of the least load has ended since now."""
+        """Wait until a further share of the least load has ended."""
         wanted = self.load.ended + share * self.load.least
 
         async def is_done() -> bool:
@@ -175,10 +182,10 @@
     async def wait(
         self, is_done: Callable[[], Awaitable[bool]], otherwise: str
     ) -> None:
-        """Wait until something holds.
+        """Wait until a condition holds.
 
         Raises:
-          WaitError: it did not hold for `WAIT_LIMIT_S`.
+          WaitError: it did not hold within `WAIT_LIMIT_S`.
         """
         limit = time.monotonic() + WAIT_LIMIT_S
         while not await is_done():
@@ -187,14 +194,16 @@
             await asyncio.sleep(POLL_S)
 
     async def wait_in_force(self) -> None:
-        """Wait until every node has the last configuration, or too long."""
+        """Wait until all nodes have the same revision, or the limit passes."""
         limit = time.monotonic() + IN_FORCE_LIMIT_S
         while time.monotonic() < limit:
-            seen = [
+            statuses = [
                 await self.operator.read_status(node.address)
                 for node in self.list_running()
             ]
-            revisions = {one["revision"] if one else -1 for one in seen}
+            revisions = {
+                status["revision"] if status else -1 for status in statuses
+            }
             if len(revisions) == 1 and -1 not in revisions:
                 return
             await asyncio.sleep(POLL_S)
