--- a/tools/check_binary.py
+++ b/tools/check_binary.py
@@ -1,9 +1,9 @@
-"""Checks how the one-file program behaves as a process.
+"""Check how the single-file program behaves as a process.
 
-Runs it with an empty temporary folder as the only place it may write: HOME
-and the current directory are in /proc, where not even root can make a file.
-It must print its version and its help, and a command that goes on running
-must be exactly one process until SIGTERM ends it.
+Runs the program with an empty temporary directory as the only writable one:
+HOME and the current directory are /proc, where even root cannot create files.
+The program must print its version and its help, and a long-running command
+must stay a single process until SIGTERM ends it.
 """
 
 from collections.abc import Iterator, Mapping
@@ -30,15 +30,15 @@
 
 
 class CheckError(Exception):
-    """The program does not behave as it must."""
+    """The program does not behave as required."""
 
 
 class Program:
-    """The program under check, run where it can write only to one folder."""
+    """The program under test, which can write to one directory only."""
 
     def __init__(self, *, binary: pathlib.Path, folder: pathlib.Path) -> None:
         self._folder = folder
-        # -I and -S keep the packages of this environment out of its path.
+        # -I and -S keep the packages of this environment off its path.
         self._prefix = [
             str(pathlib.Path(sys.executable).resolve()),
             "-I",
@@ -47,12 +47,12 @@
         ]
 
     def run(self, arguments: list[str]) -> str:
-        """Runs a command to its end and returns what it prints.
+        """Run a command to completion and return its output.
 
         Raises:
             CheckError: The command failed or printed nothing.
         """
-        ended = subprocess.run(
+        completed = subprocess.run(
             self._prefix + arguments,
             capture_output=True,
             cwd=UNWRITABLE,
@@ -60,15 +60,15 @@
             text=True,
             timeout=TIMEOUT_SECONDS,
         )
-        if ended.returncode != 0 or not ended.stdout.strip():
+        if completed.returncode != 0 or not completed.stdout.strip():
             raise CheckError(
-                f"{arguments} exited {ended.returncode}: {ended.stderr}"
+                f"{arguments} exited {completed.returncode}: {completed.stderr}"
             )
-        return ended.stdout
+        return completed.stdout
 
     @contextlib.contextmanager
     def start(self, arguments: list[str]) -> Iterator[subprocess.Popen[bytes]]:
-        """Starts a command in a session of its own; kills it at the end."""
+        """Start a command in a new session and kill it on exit."""
         process = subprocess.Popen(
             self._prefix + arguments,
             cwd=UNWRITABLE,
@@ -94,7 +94,7 @@
 
 
 def find_session(session: int) -> set[int]:
-    """Returns the ids of the live processes in a session."""
+    """Return the IDs of the live processes in a session."""
     return {
         int(folder.name)
         for folder in pathlib.Path("/proc").iterdir()
@@ -112,10 +112,10 @@
 
 
 def watch(process: subprocess.Popen[bytes]) -> None:
-    """Checks for a while that a command goes on as exactly one process.
+    """Check for `WATCH_SECONDS` that a command stays a single process.
 
     Raises:
-        CheckError: It ended or has started another process.
+        CheckError: It exited or started another process.
     """
     end = time.monotonic() + WATCH_SECONDS
     while time.monotonic() < end:
@@ -128,10 +128,10 @@
 
 
 def stop(process: subprocess.Popen[bytes]) -> None:
-    """Ends a command by SIGTERM.
+    """Stop a command by SIGTERM.
 
     Raises:
-        CheckError: It does not end with exit code 0.
+        CheckError: It does not exit with code 0.
     """
     process.send_signal(signal.SIGTERM)
     code = process.wait(timeout=TIMEOUT_SECONDS)
@@ -140,7 +140,7 @@
 
 
 def check(program: Program, long_command: list[str]) -> None:
-    """Runs all checks of a program.
+    """Run all checks of a program.
 
     Raises:
         CheckError: One of the checks failed.
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -81,8 +81,8 @@
         if name in seen:
             return
         seen.add(name)
-        for other in sorted(find_references(definitions[name])):
-            visit(other)
+        for reference in sorted(find_references(definitions[name])):
+            visit(reference)
         ordered.append((name, definitions[name]))
 
     for name in definitions:
@@ -108,9 +108,9 @@
     lines = [f"class {name}({kind}):", *render_docstring(body, 4), ""]
     required = set(body.get("required", ()))
     properties = body.get("properties", {})
-    plain = [key for key in properties if key in required]
-    rest = [key for key in properties if key not in required]
-    for key in plain + rest:
+    required_keys = [key for key in properties if key in required]
+    optional_keys = [key for key in properties if key not in required]
+    for key in required_keys + optional_keys:
         lines.append(render_field(key, properties[key], key in required, kind))
     if not properties:
         lines.append("    pass")
--- a/tools/known_loads.py
+++ b/tools/known_loads.py
@@ -1,17 +1,19 @@
-"""Compares what nodes believed of loads with what ran, from their logs.
+"""Compare the server loads that nodes estimated with the actual loads.
 
-Reads the JSON lines of all nodes of an installation, in any order, each behind
-the name of its node and perhaps other columns. For each send of a request it
-counts what ran at that server just then over all nodes, and prints one table:
+Reads the JSON log lines of all nodes of an installation, in any order. The
+name of the node precedes each line, possibly after other columns. For each
+send of a request the tool counts the requests that all nodes had in progress
+at that server at that time, and prints one table:
 
     python tools/known_loads.py --slots 11 nodes.log
 
-* `believed`, `ran`: requests at the server, as the node took them to be and as
-  they were; means over all sends
-* `error`: mean and standard deviation of the difference
-* `unseen`: part of the sends that found no free slot though the node believed
-  that there was one
-* `not-run`: part of the sends that came back unrun
+* `sends`: number of sends
+* `believed`, `ran`: requests at the server, as estimated by the node and
+  actual; means over all sends
+* `error`, `spread`: mean and standard deviation of the difference
+* `unseen`: fraction of the sends that found no free slot although the node
+  estimated that there was one
+* `not_run`: fraction of the sends that were returned without being run
 """
 
 from collections.abc import Iterable, Iterator
@@ -31,11 +33,11 @@
 
 
 class Line(NamedTuple):
-    """A log line on a request, or on the start of a node.
+    """A log line about a request, or about the start of a node.
 
     Attributes:
-      at: when it was written, in seconds.
-      node: who wrote it.
+      at: time when it was written, in Unix seconds.
+      node: name of the node that wrote it.
       event: name of the event.
       fields: all its fields.
     """
@@ -47,11 +49,11 @@
 
 
 class Send(NamedTuple):
-    """What a node believed of a server when it sent a request there.
+    """The load of a server when a node sent a request there.
 
     Attributes:
-      believed: requests at the server, as the node took them to be.
-      ran: requests that were there.
+      believed: requests at the server, as estimated by the node.
+      ran: requests that were in progress there.
     """
 
     believed: int
@@ -59,7 +61,7 @@
 
 
 class Table(NamedTuple):
-    """What the sends come to."""
+    """Statistics over all sends."""
 
     sends: int
     believed: float
@@ -71,7 +73,7 @@
 
 
 def parse_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Yield the log lines that count; other lines are passed over."""
+    """Yield the relevant log lines; skip all others."""
     for text in texts:
         begin = text.find("{")
         try:
@@ -86,49 +88,51 @@
 
 
 def count_loads(lines: Iterable[Line], *, prefix: str) -> list[Send]:
-    """Return what each send found, in the order of time.
+    """Return the loads at each send, in order of time.
 
     Args:
       lines: log lines of all nodes.
-      prefix: beginning of the names of the endpoints that are looked at.
+      prefix: prefix of the names of the endpoints that are evaluated.
     """
     running: dict[str, set[str]] = {}
-    # Server of each request, by the node that sent it.
-    places: dict[str, dict[str, str]] = {}
+    # Server of each request in progress, by the node that sent it.
+    servers: dict[str, dict[str, str]] = {}
     sends = []
-    for line in sorted(lines, key=lambda one: one.at):
-        own = places.setdefault(line.node, {})
+    for line in sorted(lines, key=lambda line: line.at):
+        node_servers = servers.setdefault(line.node, {})
         request = line.fields.get("request_id", "")
-        # What a process had sent is over when another one takes its place.
-        over = list(own) if line.event == STARTED else [request]
-        for one in over:
-            running.get(own.pop(one, ""), set()).discard(one)
+        # A restart of the node ends all requests of its last process.
+        ended_requests = (
+            list(node_servers) if line.event == STARTED else [request]
+        )
+        for ended in ended_requests:
+            running.get(node_servers.pop(ended, ""), set()).discard(ended)
         if line.event != SENT:
             continue
         server = line.fields["server"]
-        there = running.setdefault(server, set())
+        in_progress = running.setdefault(server, set())
         if line.fields["endpoint"].startswith(prefix):
             believed = line.fields["own"] + line.fields["others"]
-            sends.append(Send(believed, len(there)))
-        there.add(request)
-        own[request] = server
+            sends.append(Send(believed, len(in_progress)))
+        in_progress.add(request)
+        node_servers[request] = server
     return sends
 
 
 def make_table(sends: list[Send], *, slots: int, unrun: int) -> Table:
-    """Return what the sends come to.
+    """Return the statistics over all sends.
 
     Args:
       sends: at least one.
       slots: requests that a server runs at once.
-      unrun: sends that came back unrun.
+      unrun: sends that were returned without being run.
     """
-    errors = [one.believed - one.ran for one in sends]
-    unseen = sum(one.believed < slots <= one.ran for one in sends)
+    errors = [send.believed - send.ran for send in sends]
+    unseen = sum(send.believed < slots <= send.ran for send in sends)
     return Table(
         sends=len(sends),
-        believed=statistics.fmean(one.believed for one in sends),
-        ran=statistics.fmean(one.ran for one in sends),
+        believed=statistics.fmean(send.believed for send in sends),
+        ran=statistics.fmean(send.ran for send in sends),
         error=statistics.fmean(errors),
         spread=statistics.pstdev(errors),
         unseen=unseen / len(sends),
@@ -151,8 +155,8 @@
     if not sends:
         raise typer.BadParameter("no send is logged there")
     unrun = sum(
-        one.event == REPEATED and one.fields["reason"] == NOT_RUN
-        for one in lines
+        line.event == REPEATED and line.fields["reason"] == NOT_RUN
+        for line in lines
     )
     table = make_table(sends, slots=slots, unrun=unrun)
     typer.echo(json.dumps({k: round(v, 3) for k, v in table._asdict().items()}))
