--- a/test/configuration/test_check.py
+++ b/test/configuration/test_check.py
@@ -1,4 +1,4 @@
-"""Schema and cross-checks: codes, places, hints and defaults."""
+"""Schema and cross-checks: codes, locations, hints and defaults."""
 
 import copy
 
@@ -38,7 +38,7 @@
 
 
 def make_hosts(sizes):
-    """Return a host list with a size for each data centre and domain."""
+    """Return a host list; `sizes` maps (data centre, domain) to hosts."""
     hosts = tuple(
         make_host(data_centre, domain, number)
         for (data_centre, domain), size in sizes.items()
@@ -54,9 +54,10 @@
 
 @pytest.fixture
 def find(hosts):
-    """Check a configuration; return code and line of each finding.
+    """Return a function that lists each finding's code and marked text.
 
-    It is written with one scalar a line, so that lines tell places apart.
+    The configuration is dumped with one scalar per line, so the rest of the
+    line at a finding identifies its location.
     """
 
     def find_codes(**changes):
@@ -174,7 +175,7 @@
     assert_that(found, Equals(expected))
 
 
-def test_models_together_want_more_hosts_than_there_are(find):
+def test_models_together_need_more_hosts_than_exist(find):
     first = make_model(groups=2, data_centres=["a"])
     second = make_model(name="n", hosts_per_group=4, data_centres=["a"])
     found = find(models=[first, second])
@@ -206,13 +207,13 @@
 
 
 @pytest.mark.parametrize("value", [None, 3, [], "x", {}, {"models": [{}]}])
-def test_any_decoded_value_is_refused_without_raising(value):
+def test_invalid_decoded_values_are_rejected_without_raising(value):
     configuration, findings = check_decoded(value, "request")
     assert_that(configuration is None, Equals(True))
     assert_that(len(findings) > 0, Equals(True))
 
 
-def test_hints_name_the_nearest():
+def test_hints_suggest_the_closest_key():
     text = "name: x\ndata_centers: [a]\nmodels: []\nworkspace: []\n"
     _, findings = check(text, "x", hosts=None, weights=None)
     found = [(item.code, item.hint) for item in findings]
@@ -241,15 +242,15 @@
 
 
 def test_equal_configurations_have_one_digest():
-    given_again = {**BASE, "objective": {"downtime": 1, "stranded": 1.0}}
-    reordered = dict(reversed(list(given_again.items())))
+    explicit_defaults = {**BASE, "objective": {"downtime": 1, "stranded": 1.0}}
+    reordered = dict(reversed(list(explicit_defaults.items())))
     same = digest(fill_defaults(BASE))
     assert_that(digest(fill_defaults(reordered)), Equals(same))
     other = digest(fill_defaults({**BASE, "name": "y"}))
     assert_that(other == same, Is(False))
 
 
-def test_too_many_faults_end_with_a_note():
+def test_excess_findings_end_with_a_truncation_marker():
     text = "name: x\ndata_centres: [a]\nmodels:\n" + "- 1\n" * 3000
     _, findings = check(text, "x", hosts=None, weights=None)
     codes = [str(item.code) for item in findings]
--- a/test/configuration/test_check_command.py
+++ b/test/configuration/test_check_command.py
@@ -51,7 +51,7 @@
         assert_that((result.exit_code, result.stdout), Equals((0, "")))
 
 
-def test_findings_have_a_line_each(run, write):
+def test_each_finding_has_its_own_line(run, write):
     file = write(GOOD + "nmae: 1\nlimits: 3\n")
     result = run(file)
     lines = result.stdout.splitlines()
@@ -81,14 +81,14 @@
 
 @pytest.mark.parametrize("option", ["--hosts", "--weights"])
 @pytest.mark.parametrize("text", ["{", "[]", '{"hosts": 1, "models": 1}'])
-def test_a_broken_platform_file_is_wrong_use(run, write, option, text):
+def test_a_broken_platform_file_is_a_usage_error(run, write, option, text):
     broken = write(text, "platform.json")
     result = run(write(GOOD), option, broken)
     assert_that((result.exit_code, result.stdout), Equals((2, "")))
     assert_that(result.stderr, Contains("platform.json"))
 
 
-def test_a_missing_file_is_wrong_use(run, tmp_path):
+def test_a_missing_file_is_a_usage_error(run, tmp_path):
     for file in (tmp_path / "missing.yaml", tmp_path):
         result = run(file)
         assert_that((result.exit_code, result.stdout), Equals((2, "")))
--- a/test/configuration/test_configuration_docs.py
+++ b/test/configuration/test_configuration_docs.py
@@ -75,7 +75,7 @@
     assert_that(sorted(used), Equals(sorted(names)))
 
 
-def test_the_bounds_are_named():
+def test_the_bounds_are_documented():
     for bound in (
         f"{source.MAX_BYTES:,} bytes",
         f"{events.MAX_DEPTH} levels",
--- a/test/configuration/test_document.py
+++ b/test/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""The loader: places, traps of YAML 1.1, and refusals after little work."""
+"""The loader: locations, pitfalls of YAML 1.1, and early rejection."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 from chervilrock.configuration.findings import FindingCode as Code
 from chervilrock.configuration.source import MAX_BYTES
 
-WORK_LIMIT = 2 * MAX_VALUES
+MAX_SCANNED_EVENTS = 2 * MAX_VALUES
 NESTED_ALIASES = "a0: &a0 [1, 1]\n" + "".join(
     f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 9)}]\n" for n in range(1, 9)
 )
@@ -23,7 +23,7 @@
 
 @pytest.fixture(params=["library", "python"])
 def loader(request, monkeypatch):
-    """Run with the C parser and with the one in Python."""
+    """Run with the C parser and with the pure Python parser."""
     if request.param == "python":
         for module in ("events", "document"):
             name = f"chervilrock.configuration.{module}.LOADER"
@@ -32,17 +32,17 @@
 
 
 @pytest.fixture
-def work(monkeypatch):
-    """Count the events that the scan takes."""
-    counted = []
+def scanned_events(monkeypatch):
+    """Record the events that the scan processes."""
+    scanned = []
     add_event = EventScan.add_event
 
     def count_event(scan, event):
-        counted.append(event)
+        scanned.append(event)
         add_event(scan, event)
 
     monkeypatch.setattr(events.EventScan, "add_event", count_event)
-    return counted
+    return scanned
 
 
 def list_findings(data):
@@ -78,7 +78,7 @@
         (b"a: !!set {b: null}\n", (1, 4, Code.BAD_TAG)),
     ],
 )
-def test_one_fault_has_one_place(loader, data, expected):
+def test_a_fault_is_reported_once_at_its_location(loader, data, expected):
     assert_that(list_findings(data), Equals([expected]))
 
 
@@ -97,10 +97,10 @@
         (TAG_DIRECTIVES, Code.BROKEN_YAML),
     ],
 )
-def test_a_bomb_is_refused_after_bounded_work(work, data, code):
+def test_a_yaml_bomb_is_rejected_after_bounded_work(scanned_events, data, code):
     found = [item for _, _, item in list_findings(data)]
     assert_that(found, Equals([code]))
-    assert_that(len(work), LessThan(WORK_LIMIT))
+    assert_that(len(scanned_events), LessThan(MAX_SCANNED_EVENTS))
 
 
 def test_depth_through_aliases_counts():
@@ -118,7 +118,7 @@
     assert_that(document.value, Equals(expected))
 
 
-def test_every_value_and_key_has_its_place(loader):
+def test_every_value_and_key_has_its_location(loader):
     document = load_document(
         "a: 1\nb:\n  - c: [x,\n      é, z]\n", "x"
     ).document
@@ -174,7 +174,7 @@
     + ["1.0e+999", "2024-01-31", "yes", "off", "!!int x", "!!float x"]
     + ["!!bool x", "9" * 30],
 )
-def test_odd_scalars_fit_no_type(loader, text):
+def test_ambiguous_scalars_match_no_type(loader, text):
     base = "name: x\ndata_centres: [a]\nmodels: []\nservices:\n"
     file = f"{base}- name: s\n  max_in_flight: {text}\n"
     _, findings = check(file, "x", hosts=None, weights=None)
--- a/test/configuration/test_examples.py
+++ b/test/configuration/test_examples.py
@@ -44,7 +44,7 @@
     assert_that(configuration, Not(Is(None)))
 
 
-def test_example_survives_the_codec(checked):
+def test_example_round_trips_through_json(checked):
     configuration, _ = checked
     text = msgspec.json.encode(configuration)
     decoded = msgspec.json.decode(text, type=Configuration)
@@ -52,11 +52,11 @@
     assert_that(digest(decoded), Equals(digest(configuration)))
 
 
-def test_host_list_has_the_size_of_today(hosts):
+def test_host_list_has_the_expected_size(hosts):
     assert_that(hosts["hosts"], HasLength(50))
     assert_that(hosts["services"], HasLength(3))
-    places = {host["data_centre"] for host in hosts["hosts"]}
-    assert_that(places, HasLength(3))
+    data_centres = {host["data_centre"] for host in hosts["hosts"]}
+    assert_that(data_centres, HasLength(3))
     domains = [host["domain"] for host in hosts["hosts"]]
     sizes = {domains.count(domain) for domain in domains}
     assert_that(sizes, Equals({8, 9}))
--- a/test/configuration/test_settings.py
+++ b/test/configuration/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings from flags and variables, with all findings together."""
+"""Settings from flags and environment variables, and their findings."""
 
 import pathlib
 from typing import Any
@@ -74,19 +74,19 @@
     assert_that(known, Equals(set(NodeSettings._fields)))
 
 
-def test_a_flag_wins_over_a_variable():
+def test_a_flag_overrides_a_variable():
     environment = {"CHERVILROCK_NODE": "other", "CHERVILROCK_SEED": "7"}
     settings = read_settings(GOOD, environment).unwrap()
     assert_that((settings.node, settings.seed), Equals(("node-1", 7)))
 
 
-def test_a_flag_that_is_not_given_leaves_the_variable():
+def test_an_omitted_flag_leaves_the_variable():
     flags = {**GOOD, "node": None}
     settings = read_settings(flags, {"CHERVILROCK_NODE": "other"}).unwrap()
     assert_that(settings.node, Equals("other"))
 
 
-def test_all_findings_come_together():
+def test_all_findings_are_reported_together():
     flags = {"node": "a b", "listen": "localhost:80", "lease_ms": 5}
     environment = {
         "CHERVILROCK_LEASE_M": "1",
@@ -142,15 +142,15 @@
 
 
 @pytest.mark.parametrize(
-    ("flags", "place"),
+    ("flags", "reported_flag"),
     [
         ({"listen": "0.0.0.0:80"}, "--listen"),
         ({"probe_interval_ms": 3000}, "--probe-interval-ms"),
         ({"presence_limit_ms": 500}, "--presence-limit-ms"),
     ],
 )
-def test_settings_that_contradict_each_other(flags, place):
-    expected = [(place, FindingCode.CONFLICTING_SETTINGS)]
+def test_settings_that_contradict_each_other(flags, reported_flag):
+    expected = [(reported_flag, FindingCode.CONFLICTING_SETTINGS)]
     assert_that(list_codes({**GOOD, **flags}), Equals(expected))
 
 
--- a/test/ui/conftest.py
+++ b/test/ui/conftest.py
@@ -29,33 +29,33 @@
 
 
 class Reply(NamedTuple):
-    """A scripted answer; without a status the connection is closed."""
+    """A scripted reply; a status of None closes the connection."""
 
     status: int | None
     body: Any
 
 
 def make_node(name: str, revision: int, **changes: Any) -> dict[str, Any]:
-    """Returns a live node of a status."""
-    place = {"address": f"10.0.0.1:{revision}", "region": "r1"}
+    """Returns the entry of a live node in a status."""
+    location = {"address": f"10.0.0.1:{revision}", "region": "r1"}
     state = {"phase": "serving", "alive": True, "load": 0.0}
-    known = {"node": name, "revision": revision, "data_centre": "dc1"}
-    return {**known, **place, **state, **changes}
+    identity = {"node": name, "revision": revision, "data_centre": "dc1"}
+    return {**identity, **location, **state, **changes}
 
 
-class Ended(NamedTuple):
-    """What a command left: its exit code and what it printed."""
+class CommandResult(NamedTuple):
+    """The exit code of a command and its output."""
 
     code: ExitCode
     out: str
     err: str
 
 
-Run = Callable[..., Ended]
+Run = Callable[..., CommandResult]
 
 
 class FakeNode:
-    """Answers from a script; the last answer of a path repeats."""
+    """Sends scripted replies; the last reply of a path repeats."""
 
     def __init__(self) -> None:
         self.script: dict[str, list[Reply]] = {}
@@ -73,7 +73,7 @@
     def answer_status(self, **changes: Any) -> None:
         self.answer("/admin/status", {**STATUS, **changes})
 
-    def take(self, path: str) -> Reply:
+    def next_reply(self, path: str) -> Reply:
         replies = self.script.get(path, [Reply(404, {})])
         return replies.pop(0) if len(replies) > 1 else replies[0]
 
@@ -118,7 +118,7 @@
         body = self.request.body
         sent = msgspec.json.decode(body) if body else None
         self.fake.received.append((self.request.path, sent))
-        reply = self.fake.take(self.request.path)
+        reply = self.fake.next_reply(self.request.path)
         if reply.status is None:
             self.request.connection.detach().close()  # type: ignore[union-attr]
             self._finished = True
@@ -134,8 +134,10 @@
 
 @pytest.fixture
 def run(capsys: pytest.CaptureFixture[str]) -> Run:
-    """Runs a command in this process and returns what it left."""
-    return lambda *given: Ended(ExitCode(main(given)), *capsys.readouterr())
+    """Runs a command in this process and returns its result."""
+    return lambda *given: CommandResult(
+        ExitCode(main(given)), *capsys.readouterr()
+    )
 
 
 @pytest.fixture
--- a/test/ui/test_apply_command.py
+++ b/test/ui/test_apply_command.py
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def apply(node: FakeNode, file: pathlib.Path, run: Run) -> Run:
-    """Applies the file at the fake node, with more flags."""
+    """Applies the file through the fake node, with extra flags."""
     flags = ("--node", node.address)
     return lambda *more: run("apply", str(file), *flags, *more)
 
@@ -57,19 +57,19 @@
 ) -> None:
     node.answer_status()
     node.answer(APPLY, ACCEPTED)
-    ended = apply("--operator", "lucia")
+    result = apply("--operator", "lucia")
     path, sent = node.received[-1]
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(path, Equals(APPLY))
     assert_that(
         sent,
         ContainsDict({"base_revision": Equals(7), "operator": Equals("lucia")}),
     )
     assert_that(sent["document"]["models"][0]["name"], Equals("m"))
-    assert_that(ended.out, Equals("revision 8 accepted\n"))
+    assert_that(result.out, Equals("revision 8 accepted\n"))
 
 
-def test_apply_with_a_base_asks_for_no_status(
+def test_apply_with_a_base_does_not_query_the_status(
     node: FakeNode, apply: Run
 ) -> None:
     node.answer(APPLY, ACCEPTED)
@@ -79,21 +79,21 @@
 
 
 @pytest.mark.parametrize(
-    ("winner", "told"),
+    ("winner", "text"),
     [
         ({"winner": {"revision": 9, "operator": "lucia"}}, "9 of lucia has"),
         ({}, "another configuration has replaced revision 7"),
     ],
 )
-def test_apply_tells_the_loser_who_won(
-    node: FakeNode, apply: Run, winner: dict[str, Any], told: str
+def test_a_lost_apply_names_the_winner(
+    node: FakeNode, apply: Run, winner: dict[str, Any], text: str
 ) -> None:
     answer = {"accepted": False, "revision": 9, "findings": [], **winner}
     node.answer_status()
     node.answer(APPLY, answer, status=409)
-    ended = apply()
-    assert_that(ended.code, Equals(ExitCode.LOST))
-    assert_that(ended.err, Contains(told))
+    result = apply()
+    assert_that(result.code, Equals(ExitCode.LOST))
+    assert_that(result.err, Contains(text))
 
 
 def test_apply_prints_the_findings_of_the_node(
@@ -103,19 +103,19 @@
     answer = {"accepted": False, "revision": 7, "findings": [finding]}
     node.answer_status()
     node.answer(APPLY, answer, status=400)
-    ended = apply()
-    assert_that(ended.code, Equals(ExitCode.FINDINGS))
-    assert_that(ended.err, Equals("unknown-version: models[0] (h)\n"))
+    result = apply()
+    assert_that(result.code, Equals(ExitCode.FINDINGS))
+    assert_that(result.err, Equals("unknown-version: models[0] (h)\n"))
 
 
 def test_apply_sends_nothing_when_the_file_has_findings(
     node: FakeNode, file: pathlib.Path, apply: Run
 ) -> None:
     file.write_text(DOCUMENT.replace("groups: 1", "groups: many"))
-    ended = apply()
-    assert_that(ended.code, Equals(ExitCode.FINDINGS))
+    result = apply()
+    assert_that(result.code, Equals(ExitCode.FINDINGS))
     assert_that(node.received, HasLength(0))
-    assert_that(ended.err, Contains("installation.yaml:4:"))
+    assert_that(result.err, Contains("installation.yaml:4:"))
 
 
 def test_apply_without_a_node_applies_nothing(
@@ -124,13 +124,13 @@
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{bound.getsockname()[1]}"
-        ended = run("apply", str(file), "--node", address)
-    assert_that(ended.code, Equals(ExitCode.UNREACHABLE))
-    assert_that(ended.err, Contains("nothing was applied"))
+        result = run("apply", str(file), "--node", address)
+    assert_that(result.code, Equals(ExitCode.UNREACHABLE))
+    assert_that(result.err, Contains("nothing was applied"))
 
 
 @pytest.mark.parametrize(
-    ("status", "body", "told"),
+    ("status", "body", "text"),
     [
         (503, make_error(Outcome.NOT_RUN), "nothing was applied"),
         (503, make_error(Outcome.UNKNOWN), "may be accepted all the same"),
@@ -139,34 +139,34 @@
         (None, b"", "may be accepted all the same"),
     ],
 )
-def test_apply_tells_whether_it_may_be_accepted(
-    node: FakeNode, apply: Run, status: int | None, body: object, told: str
+def test_apply_reports_whether_it_may_be_accepted(
+    node: FakeNode, apply: Run, status: int | None, body: object, text: str
 ) -> None:
     node.answer_status()
     node.answer(APPLY, body, status=status)
-    ended = apply()
-    assert_that(ended.code, Equals(ExitCode.UNREACHABLE))
-    assert_that(ended.err, Contains(told))
+    result = apply()
+    assert_that(result.code, Equals(ExitCode.UNREACHABLE))
+    assert_that(result.err, Contains(text))
     assert_that(node.count(APPLY), Equals(1))
 
 
-def test_wait_ends_when_every_live_node_follows(
+def test_wait_ends_when_every_live_node_has_the_revision(
     node: FakeNode, apply: Run
 ) -> None:
     node.answer_status()
     node.answer(APPLY, ACCEPTED)
     node.answer_status(nodes=[make_node("a", 8), make_node("b", 7)])
     node.answer_status(nodes=[make_node("a", 8), make_node("b", 9)])
-    ended = apply("--wait")
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = apply("--wait")
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(node.count("/admin/status"), Equals(3))
     assert_that(
-        ended.out,
+        result.out,
         Contains("revision 8 in force on every live node"),
     )
 
 
-def test_wait_names_the_nodes_that_do_not_follow(
+def test_wait_names_the_nodes_without_the_revision(
     node: FakeNode, apply: Run
 ) -> None:
     nodes = [
@@ -180,10 +180,10 @@
     ]
     node.answer_status(nodes=nodes)
     node.answer(APPLY, ACCEPTED)
-    ended = apply("--wait", "--timeout", "0")
-    assert_that(ended.code, Equals(ExitCode.NOT_IN_FORCE))
+    result = apply("--wait", "--timeout", "0")
+    assert_that(result.code, Equals(ExitCode.NOT_IN_FORCE))
     assert_that(
-        ended.err.splitlines(),
+        result.err.splitlines(),
         Equals(
             [
                 "not heard of lately, so not waited for: c",
@@ -193,13 +193,15 @@
     )
 
 
-def test_wait_without_answers_cannot_tell(node: FakeNode, apply: Run) -> None:
+def test_wait_without_answers_exits_as_unreachable(
+    node: FakeNode, apply: Run
+) -> None:
     node.answer_status()
     node.answer("/admin/status", b"", status=500)
     node.answer(APPLY, ACCEPTED)
-    ended = apply("--wait", "--timeout", "0")
-    assert_that(ended.code, Equals(ExitCode.UNREACHABLE))
-    assert_that(ended.err, Contains("was accepted"))
+    result = apply("--wait", "--timeout", "0")
+    assert_that(result.code, Equals(ExitCode.UNREACHABLE))
+    assert_that(result.err, Contains("was accepted"))
 
 
 @pytest.mark.parametrize("wait", [[], ["--wait", "--timeout", "0"]])
@@ -208,8 +210,8 @@
 ) -> None:
     node.answer_status(nodes=[make_node("b", 7)])
     node.answer(APPLY, ACCEPTED)
-    ended = apply("--json", *wait)
-    printed = json.loads(ended.out)
+    result = apply("--json", *wait)
+    printed = json.loads(result.out)
     spread = {"lagging": ["b"], "lost": []} if wait else None
     assert_that(printed["revision"], Equals(8))
     assert_that(printed.get("spread"), Equals(spread))
@@ -218,10 +220,10 @@
 def test_apply_needs_no_user_entry(
     node: FakeNode, monkeypatch: pytest.MonkeyPatch, apply: Run
 ) -> None:
-    def find_nobody() -> str:
+    def raise_unknown_user() -> str:
         raise KeyError("uid not found")
 
-    monkeypatch.setattr(getpass, "getuser", find_nobody)
+    monkeypatch.setattr(getpass, "getuser", raise_unknown_user)
     node.answer(APPLY, ACCEPTED)
     apply("--base", "0")
     assert_that(node.received[0][1]["operator"], Equals("unknown"))
--- a/test/ui/test_command_line.py
+++ b/test/ui/test_command_line.py
@@ -1,4 +1,4 @@
-"""Tests of the command line as a whole: help, version, wrong use."""
+"""Tests of the command line as a whole: help, version, usage errors."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,18 +22,18 @@
 
 
 def test_version(run: Run) -> None:
-    ended = run("--version")
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = run("--version")
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(
-        ended.out,
+        result.out,
         Equals(f"chervilrock {chervilrock.__version__}\n"),
     )
 
 
 def test_help_names_every_command(run: Run) -> None:
-    ended = run("--help")
-    printed = ended.out
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = run("--help")
+    printed = result.out
+    assert_that(result.code, Equals(ExitCode.DONE))
     for name in COMMANDS:
         assert_that(printed, Contains(f"\n  {name} "))
     assert_that(printed, Contains("\n  Examples:\n    chervilrock check"))
@@ -44,18 +44,18 @@
     [(name,) for name in COMMANDS] + [("stand-in", name) for name in STAND_INS],
 )
 def test_every_command_has_help(run: Run, path: tuple[str, ...]) -> None:
-    ended = run(*path, "--help")
-    printed = ended.out
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = run(*path, "--help")
+    printed = result.out
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(printed, StartsWith(f"Usage: chervilrock {' '.join(path)}"))
     assert_that(printed.count("\\b"), Equals(0))
 
 
 @pytest.mark.parametrize("command", ["apply", "check"])
 def test_examples_in_the_help_keep_their_lines(run: Run, command: str) -> None:
-    ended = run(command, "--help")
+    result = run(command, "--help")
     assert_that(
-        ended.out,
+        result.out,
         Contains(f"\n  Examples:\n    chervilrock {command} "),
     )
 
@@ -79,17 +79,19 @@
         ("serve", "positional"),
     ],
 )
-def test_wrong_use_is_told_apart(run: Run, arguments: tuple[str, ...]) -> None:
-    ended = run(*arguments)
-    printed = ended
-    assert_that(ended.code, Equals(ExitCode.USAGE))
+def test_usage_errors_have_their_own_exit_code(
+    run: Run, arguments: tuple[str, ...]
+) -> None:
+    result = run(*arguments)
+    printed = result
+    assert_that(result.code, Equals(ExitCode.USAGE))
     assert_that(bool(printed.err or printed.out), Equals(True))
 
 
 def test_exit_codes_are_documented(run: Run) -> None:
     page = (ROOT / "docs" / "OPERATIONS.md").read_text(encoding="utf-8")
-    ended = run("--help")
-    helped = ended.out.partition("Exit codes:")[2]
+    result = run("--help")
+    helped = result.out.partition("Exit codes:")[2]
     defined = [str(code.value) for code in ExitCode]
     table = page.partition("## Exit codes")[2].partition("## ")[0]
     assert_that(CODE_ROW.findall(table), Equals(defined))
@@ -97,7 +99,7 @@
 
 
 @pytest.mark.parametrize("kind", STAND_INS)
-def test_a_stand_in_runs_until_it_is_told_to_stop(
+def test_a_stand_in_runs_until_sigterm(
     monkeypatch: pytest.MonkeyPatch, run: Run, kind: str
 ) -> None:
     def stop_at_once(address: str) -> None:
@@ -108,6 +110,6 @@
     printed: list[str] = []
     report: Callable[[str], None] = stop_at_once
     monkeypatch.setattr(runner, "print_result", report)
-    ended = run("stand-in", kind, "--listen", "127.0.0.1:0")
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = run("stand-in", kind, "--listen", "127.0.0.1:0")
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(printed[0], StartsWith("listens on 127.0.0.1:"))
--- a/test/ui/test_getting_started.py
+++ b/test/ui/test_getting_started.py
@@ -1,4 +1,4 @@
-"""Tests that the files of the getting-started page are right."""
+"""Tests that the files shown on the getting-started page are valid."""
 
 import pathlib
 import re
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def folder(tmp_path: pathlib.Path) -> pathlib.Path:
-    """The files of the page in a folder."""
+    """A folder with the files shown on the page."""
     for name, text in FILE.findall(PAGE.read_text(encoding="utf-8")):
         (tmp_path / name).write_text(text)
     return tmp_path
@@ -27,7 +27,7 @@
 def test_the_configuration_has_no_findings(
     folder: pathlib.Path, run: Run
 ) -> None:
-    ended = run(
+    result = run(
         "check",
         str(folder / "installation.yaml"),
         "--hosts",
@@ -35,10 +35,10 @@
         "--weights",
         str(folder / "weights.json"),
     )
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    assert_that(result.code, Equals(ExitCode.DONE))
 
 
-def test_the_platform_takes_the_files(folder: pathlib.Path) -> None:
+def test_the_platform_accepts_the_files(folder: pathlib.Path) -> None:
     platform = load_platform(folder / "hosts.json", folder / "weights.json")
     hosts = [host["host"] for host in platform.list_hosts()["hosts"]]
     assert_that(hosts, Equals(["h1", "h2"]))
--- a/test/ui/test_node_command.py
+++ b/test/ui/test_node_command.py
@@ -1,4 +1,4 @@
-"""The command `node` as a process."""
+"""Tests of the command `node`, run as a process."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 from chervilrock.ui.node import parse_arguments
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-WAIT_S = 60.0
+EXIT_TIMEOUT_S = 60.0
 
 SETTINGS = """
 node_name = "n1"
@@ -46,7 +46,7 @@
     )
 
 
-def test_a_node_serves_until_it_is_told_to_stop(
+def test_a_node_serves_until_sigterm(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "settings.toml"
@@ -60,30 +60,32 @@
     while line["event"] != "settings-reloaded":
         line = json.loads(process.stdout.readline())
     process.send_signal(signal.SIGTERM)
-    output, _ = process.communicate(timeout=WAIT_S)
+    output, _ = process.communicate(timeout=EXIT_TIMEOUT_S)
     assert_that(process.returncode, Equals(0))
-    # Compared as a whole, so that a failure shows what came last instead.
+    # Matches the whole record, so that a failure shows the actual last event.
     last = json.loads(output.splitlines()[-1])
     assert_that(last, ContainsDict({"event": Equals("serving-stopped")}))
 
 
-def test_all_wrong_settings_are_told_and_the_process_ends(
+def test_all_invalid_settings_are_reported_before_exit(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace('"n1"', "7").replace(":1", ""))
     process = start(str(path))
-    output, _ = process.communicate(timeout=WAIT_S)
+    output, _ = process.communicate(timeout=EXIT_TIMEOUT_S)
     assert_that(process.returncode, Equals(1))
     found = [json.loads(line)["setting"] for line in output.splitlines()]
     assert_that(sorted(found), Equals(["node_name", "provider.address"]))
 
 
-def test_a_taken_address_is_one_line(tmp_path: pathlib.Path) -> None:
+def test_an_unavailable_address_is_reported_in_one_line(
+    tmp_path: pathlib.Path,
+) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace('front = "127', 'front = "203.0.113'))
     process = start(str(path))
-    output, errors = process.communicate(timeout=WAIT_S)
+    output, errors = process.communicate(timeout=EXIT_TIMEOUT_S)
     assert_that(process.returncode, Equals(1))
     (line,) = output.splitlines()
     assert_that(json.loads(line)["event"], Equals("setting-refused"))
@@ -91,11 +93,11 @@
 
 
 @pytest.mark.parametrize("arguments", [["x"], ["--metrics-port", "x"]])
-def test_wrong_arguments_are_told(
+def test_invalid_arguments_print_the_usage(
     tmp_path: pathlib.Path, arguments: list[str]
 ) -> None:
     process = start(str(tmp_path / "none"), *arguments)
-    _, errors = process.communicate(timeout=WAIT_S)
+    _, errors = process.communicate(timeout=EXIT_TIMEOUT_S)
     assert_that(process.returncode, Equals(2))
     assert_that(errors, Contains("Usage: chervilrock node"))
 
--- a/test/ui/test_serve_command.py
+++ b/test/ui/test_serve_command.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def started(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[NodeSettings]]:
-    """Settings of the nodes that were run; they end at once with code 0."""
+    """Settings of the started nodes, which exit at once with code 0."""
     settings: list[NodeSettings] = []
 
     async def run_node(given: NodeSettings) -> int:
@@ -57,8 +57,8 @@
 
 
 def test_flags_become_settings(started: list[NodeSettings], run: Run) -> None:
-    ended = run("serve", *list_flags(lease_ms="5000"), "--drift=0.05")
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = run("serve", *list_flags(lease_ms="5000"), "--drift=0.05")
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(
         started,
         Equals([NodeSettings(**REQUIRED, lease_ms=5000, drift=0.05)]),
@@ -74,7 +74,7 @@
     assert_that(started, Equals([NodeSettings(**REQUIRED, seed=9)]))
 
 
-def test_a_flag_goes_before_a_variable(
+def test_a_flag_overrides_a_variable(
     started: list[NodeSettings], monkeypatch: pytest.MonkeyPatch, run: Run
 ) -> None:
     monkeypatch.setenv("CHERVILROCK_NODE", "from-variable")
@@ -89,9 +89,9 @@
     started: list[NodeSettings], run: Run, log_format: str
 ) -> None:
     flags = list_flags(lease_ms="soon", log_format=log_format)
-    ended = run("serve", *flags, "--no-such", "1", "--seed", "-1")
-    lines = ended.err.splitlines()
-    assert_that(ended.code, Equals(ExitCode.FINDINGS))
+    result = run("serve", *flags, "--no-such", "1", "--seed", "-1")
+    lines = result.err.splitlines()
+    assert_that(result.code, Equals(ExitCode.FINDINGS))
     assert_that(started, HasLength(0))
     assert_that(lines, HasLength(3))
     for flag, line in zip(
@@ -101,7 +101,7 @@
         assert_that(line.startswith("{"), Equals(log_format == "json"))
 
 
-def test_the_log_has_the_wanted_format(
+def test_the_log_has_the_configured_format(
     started: list[NodeSettings], run: Run, capsys: pytest.CaptureFixture[str]
 ) -> None:
     run("serve", *list_flags(log_format="json", log_level="WARNING"))
@@ -112,8 +112,8 @@
 
 
 def test_help_lists_every_setting(run: Run) -> None:
-    ended = run("serve", "--help")
-    printed = ended.out
+    result = run("serve", "--help")
+    printed = result.out
     for name in NodeSettings._fields:
         assert_that(printed, Contains(f"\n  {name_flag(name)} "))
         assert_that(printed, Contains(f"[{name_variable(name)}"))
@@ -135,6 +135,6 @@
         (["--a", "1", "--a=2"], "--a stands twice"),
     ],
 )
-def test_what_is_no_flag_is_refused(arguments: list[str], text: str) -> None:
+def test_malformed_flags_are_rejected(arguments: list[str], text: str) -> None:
     with pytest.raises(UsageError, match=text):
         parse_flags(arguments)
--- a/test/ui/test_status_command.py
+++ b/test/ui/test_status_command.py
@@ -79,14 +79,14 @@
 
 
 def test_status_prints_tables(full_node: FakeNode, run: Run) -> None:
-    ended = run("status", "--node", full_node.address)
-    assert_that(ended.code, Equals(ExitCode.DONE))
-    assert_that(ended.out, Equals(TABLES))
+    result = run("status", "--node", full_node.address)
+    assert_that(result.code, Equals(ExitCode.DONE))
+    assert_that(result.out, Equals(TABLES))
 
 
 def test_status_prints_json(full_node: FakeNode, run: Run) -> None:
-    ended = run("status", "--node", full_node.address, "--json")
-    printed = json.loads(ended.out)
+    result = run("status", "--node", full_node.address, "--json")
+    printed = json.loads(result.out)
     assert_that(printed["groups"][0]["missing"], Equals(["h2"]))
 
 
@@ -94,8 +94,8 @@
     node.answer_status(
         revision=0, operator="", controller="", log_reachable=False
     )
-    ended = run("status", "--node", node.address)
-    printed = ended.out
+    result = run("status", "--node", node.address)
+    printed = result.out
     assert_that(printed, Contains("configuration: none\n"))
     assert_that(printed, Contains("controller:    none\n"))
     assert_that(printed, Contains("NOT REACHABLE"))
@@ -106,15 +106,15 @@
     node: FakeNode, run: Run
 ) -> None:
     node.answer_status(region_known=False)
-    ended = run("status", "--node", node.address)
-    assert_that(ended.out, Contains("region:        r1, NOT KNOWN"))
+    result = run("status", "--node", node.address)
+    assert_that(result.out, Contains("region:        r1, NOT KNOWN"))
 
 
 def test_dump_prints_the_state(node: FakeNode, run: Run) -> None:
     node.answer("/state", b'{"tasks":{"log":{"offset":4}}}')
-    ended = run("dump", node.address)
-    printed = ended.out
-    assert_that(ended.code, Equals(ExitCode.DONE))
+    result = run("dump", node.address)
+    printed = result.out
+    assert_that(result.code, Equals(ExitCode.DONE))
     assert_that(printed, Contains('\n  "tasks": {\n'))
     assert_that(json.loads(printed), Equals({"tasks": {"log": {"offset": 4}}}))
 
@@ -135,18 +135,18 @@
     body: bytes,
 ) -> None:
     node.answer(path, body, status=status)
-    ended = run(*arguments, node.address)
-    printed = ended
-    assert_that(ended.code, Equals(ExitCode.UNREACHABLE))
+    result = run(*arguments, node.address)
+    printed = result
+    assert_that(result.code, Equals(ExitCode.UNREACHABLE))
     assert_that(printed.out, Equals(""))
     assert_that(printed.err, Contains(node.address))
 
 
-def test_a_status_with_a_missing_value_is_refused(
+def test_a_status_with_a_missing_value_is_rejected(
     node: FakeNode, run: Run
 ) -> None:
     body = {key: STATUS[key] for key in STATUS if key != "revision"}
     node.answer("/admin/status", body)
-    ended = run("status", "--node", node.address)
-    assert_that(ended.code, Equals(ExitCode.UNREACHABLE))
-    assert_that(ended.err, Contains("`revision`"))
+    result = run("status", "--node", node.address)
+    assert_that(result.code, Equals(ExitCode.UNREACHABLE))
+    assert_that(result.err, Contains("`revision`"))
