--- a/test/standin/calls.py
+++ b/test/standin/calls.py
@@ -1,4 +1,4 @@
-"""Calls to stand-ins, for tests."""
+"""Helpers that send requests to stand-ins and build expected answers."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -16,18 +16,18 @@
 from chervilrock.standin.engine import EngineStandIn
 
 GROUP_SIZE = 3
-MAX_TURNS = 100_000
+MAX_LOOP_TURNS = 100_000
 HEADERS = {"X-Fence": "7", "X-Request-Id": "r1", "X-Attempt-Id": "a1"}
 
 Prepare = Callable[[pycurl.Curl], None] | None
 
 
 class Call(NamedTuple):
-    """What a caller got.
+    """Response as the caller received it.
 
     Attributes:
-      status: status code, 0 when the headers did not arrive.
-      whole: whether the answer arrived as a whole.
+      status: HTTP status code, or 0 if no headers arrived.
+      whole: whether the complete body arrived.
     """
 
     status: int
@@ -47,26 +47,26 @@
     prepare: Prepare = None,
 ) -> Call:
     chunks: list[bytes] = []
-    lines: list[str] = []
+    header_lines: list[str] = []
     request = HTTPRequest(
         url,
         method=method,
         headers=headers,
         body=None if body is None else msgspec.json.encode(body),
         request_timeout=30.0,
-        streaming_callback=functools.partial(_take, chunks, on_chunk),
-        header_callback=lines.append,
+        streaming_callback=functools.partial(_collect_chunk, chunks, on_chunk),
+        header_callback=header_lines.append,
         prepare_curl_callback=prepare,
     )
     try:
         response = await client.fetch(request, raise_error=False)
     except HTTPClientError:
-        status = int(lines[0].split()[1]) if lines else 0
+        status = int(header_lines[0].split()[1]) if header_lines else 0
         return Call(status, HTTPHeaders(), b"".join(chunks), False)
     return Call(response.code, response.headers, b"".join(chunks), True)
 
 
-def _take(
+def _collect_chunk(
     chunks: list[bytes], on_chunk: Callable[[bytes], None] | None, chunk: bytes
 ) -> None:
     chunks.append(chunk)
@@ -88,14 +88,18 @@
 
 
 def list_events(answer: Answer, start: int = 0) -> bytes:
-    """Returns the whole stream after an event."""
+    """Returns all bytes of the stream after the event number `start`."""
     numbers = range(start + 1, answer.event_count + 2)
     return b"".join(answer.format_event(number) for number in numbers)
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Waits for a condition, and fails when it does not come about."""
-    for _ in range(MAX_TURNS):
+    """Yields to the event loop until a condition holds.
+
+    Raises:
+        AssertionError: The condition does not hold after MAX_LOOP_TURNS turns.
+    """
+    for _ in range(MAX_LOOP_TURNS):
         if condition():
             return
         await asyncio.sleep(0)
@@ -105,7 +109,7 @@
 async def wait_ready(engines: Iterable[EngineStandIn]) -> None:
     shards = [engine.shards for engine in engines]
     await wait_until(
-        lambda: all(held.phase is EnginePhase.READY for held in shards)
+        lambda: all(shard.phase is EnginePhase.READY for shard in shards)
     )
 
 
--- a/test/standin/test_completions.py
+++ b/test/standin/test_completions.py
@@ -35,7 +35,7 @@
     wait_until,
 )
 
-LONG = 3000
+LONG_TOKENS = 3000
 
 Caller = Callable[..., Coroutine[Any, Any, Call]]
 
@@ -54,11 +54,13 @@
 
 @pytest.fixture
 def ask(leader: EngineStandIn, caller: Caller) -> Caller:
-    def _ask(body: dict[str, Any], **rest: Any) -> Coroutine[Any, Any, Call]:
+    def _ask(
+        body: dict[str, Any], **arguments: Any
+    ) -> Coroutine[Any, Any, Call]:
         path = "chat/completions" if "messages" in body else "completions"
-        headers = HEADERS | rest.pop("headers", {})
+        headers = HEADERS | arguments.pop("headers", {})
         url = f"http://{leader.address}/v1/{path}"
-        return caller(url, body=body, headers=headers, **rest)
+        return caller(url, body=body, headers=headers, **arguments)
 
     return _ask
 
@@ -155,7 +157,7 @@
         ),
     ],
 )
-def test_refused_request_has_not_run(
+def test_rejected_request_has_not_run(
     runner, ask, leader, headers, members, status, code
 ):
     got = runner.run(ask(make_body(**members), headers=headers))
@@ -171,11 +173,11 @@
     assert_that(got.status, Equals(409))
 
 
-def test_full_queue_refuses(runner, caller):
+def test_full_queue_rejects_requests(runner, caller):
     options = EngineOptions(max_running=0, max_waiting=0)
     engine = EngineStandIn(options=options)
 
-    async def ask_full():
+    async def send_to_full_engine():
         await engine.start()
         shard = make_shard(0, engine.address)
         engine.take_order(EngineOrder(fence=7, group="g", shard=shard))
@@ -185,12 +187,12 @@
         await engine.stop()
         return got
 
-    got = runner.run(ask_full())
+    got = runner.run(send_to_full_engine())
     assert_that(got.status, Equals(429))
     assert_that(engine.executions.total(), Equals(0))
 
 
-def test_broken_stream_resumes_without_a_lost_or_doubled_event(
+def test_broken_stream_resumes_without_lost_or_duplicate_events(
     runner, ask, leader
 ):
     leader.faults.add(
@@ -223,14 +225,16 @@
 
 
 @pytest.mark.parametrize("lose_shard", [False, True])
-def test_group_breaks_its_streams_with_any_host(runner, ask, group, lose_shard):
+def test_losing_any_host_breaks_the_streams_of_its_group(
+    runner, ask, group, lose_shard
+):
     def lose_peer(_chunk: bytes) -> None:
         if lose_shard:
             group[2].take_order({"fence": 8, "group": "g"})
         else:
             group[2].kill()
 
-    body = make_body(stream=True, max_tokens=LONG)
+    body = make_body(stream=True, max_tokens=LONG_TOKENS)
     got = runner.run(ask(body, on_chunk=lose_peer))
     assert_that(got, MatchesStructure.byEquality(status=200, whole=False))
     assert_that(got.body, Not(Contains(b"[DONE]")))
@@ -238,7 +242,7 @@
     assert_that(whole, StartsWith(got.body))
 
 
-def test_group_without_a_host_refuses(runner, ask, group, leader):
+def test_group_that_lost_a_host_rejects_requests(runner, ask, group, leader):
     group[1].kill()
     got = runner.run(ask(make_body()))
     assert_that(got.status, Equals(503))
@@ -260,7 +264,7 @@
 
 
 def test_cancel_ends_a_stream_without_done(runner, ask, leader, control):
-    body = make_body(stream=True, max_tokens=LONG)
+    body = make_body(stream=True, max_tokens=LONG_TOKENS)
     attempts: list[asyncio.Task[Any]] = []
 
     def cancel(_chunk: bytes) -> None:
@@ -281,14 +285,16 @@
     assert_that(phase.unwrap(), Equals(AttemptPhase.DONE))
 
 
-def test_unknown_attempt_is_told(runner, leader, control: HttpModelEngine):
+def test_unknown_attempt_is_reported_as_unknown(
+    runner, leader, control: HttpModelEngine
+):
     phase = runner.run(control.read_attempt(leader.address, "none"))
     cancelled = runner.run(control.cancel(leader.address, "none"))
     assert_that(phase.unwrap(), Equals(AttemptPhase.UNKNOWN))
     assert_that(cancelled.unwrap(), Equals(False))
 
 
-def test_repeated_and_foreign_events(runner, ask, leader):
+def test_faults_add_repeated_and_foreign_events(runner, ask, leader):
     leader.faults.add({"kind": FaultKind.REPEAT_EVENT, "count": 1})
     leader.faults.add({"kind": FaultKind.FOREIGN_EVENT, "count": 1})
     body = make_body(stream=True, max_tokens=2)
--- a/test/standin/test_control.py
+++ b/test/standin/test_control.py
@@ -60,7 +60,9 @@
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-def test_old_fencing_number(runner, control, checks_fence):
+def test_old_fence_is_rejected_if_the_engine_checks_fences(
+    runner, control, checks_fence
+):
     options = EngineOptions(checks_fence=checks_fence)
     engine = EngineStandIn(options=options)
 
@@ -81,7 +83,7 @@
     assert_that(state["fence"], Equals(3))
 
 
-def test_fault_makes_engine_ignore_the_fencing_number(runner, engine):
+def test_fault_makes_the_engine_ignore_fences(runner, engine):
     async def order_twice():
         engine.take_order(make_order(3))
         engine.faults.add({"kind": FaultKind.IGNORE_FENCE})
@@ -103,7 +105,7 @@
     assert_that(phases, Equals((EnginePhase.READY, EnginePhase.LOADING)))
 
 
-def test_restart_is_an_empty_engine(runner, engine):
+def test_restarted_engine_is_empty(runner, engine):
     async def restart():
         engine.take_order(make_order(3))
         await wait_ready([engine])
@@ -125,7 +127,7 @@
     assert_that(result.failure().effect_possible, Equals(False))
 
 
-def test_lost_answer_of_an_order_has_an_effect(runner, engine, control):
+def test_order_whose_answer_is_lost_takes_effect(runner, engine, control):
     rule = {"kind": FaultKind.LOSE_ANSWER, "path": "/control/orders"}
     engine.faults.add(rule)
     result = runner.run(control.order(engine.address, make_order(3)))
@@ -183,10 +185,8 @@
     assert_that(runner.run(load()).unwrap()["phase"], Equals(EnginePhase.READY))
 
 
-def test_frozen_engine_answers_nothing_until_it_goes_on(
-    runner, engine, control
-):
-    async def order_frozen():
+def test_paused_engine_answers_only_after_it_resumes(runner, engine, control):
+    async def order_while_paused():
         engine.faults.set_paused(True)
         task = asyncio.create_task(control.order(engine.address, make_order(3)))
         await wait_until(lambda: engine.arrivals > 0)
@@ -194,15 +194,17 @@
         engine.faults.set_paused(False)
         return before, await task
 
-    before, answer = runner.run(order_frozen())
+    before, answer = runner.run(order_while_paused())
     assert_that(before, Equals(0))
     assert_that(answer.unwrap().accepted, Equals(True))
 
 
-def test_order_to_a_frozen_engine_dies_with_it(runner, engine, control):
+def test_order_to_a_paused_engine_is_lost_if_it_is_killed(
+    runner, engine, control
+):
     address = engine.address
 
-    async def restart_frozen():
+    async def restart_while_paused():
         engine.faults.set_paused(True)
         task = asyncio.create_task(control.order(address, make_order(3)))
         await wait_until(lambda: engine.arrivals > 0)
@@ -210,5 +212,5 @@
         await engine.start(port=int(address.rpartition(":")[2]))
         await task
 
-    runner.run(restart_frozen())
+    runner.run(restart_while_paused())
     assert_that(engine.shards.fence, Equals(0))
--- a/test/standin/test_parts.py
+++ b/test/standin/test_parts.py
@@ -1,4 +1,4 @@
-"""Tests of the small parts of the stand-ins."""
+"""Tests of the components that stand-ins are built from."""
 
 import random
 
@@ -65,20 +65,20 @@
     assert_that(events, Equals((0, 1)))
 
 
-def test_break_tells_what_has_not_run():
+def test_broken_batch_marks_waiting_attempts_as_not_run():
     batch = Batch(max_running=1, max_waiting=1)
-    running, waiting, refused = (make_attempt(5) for _ in range(3))
-    taken = [batch.offer(item) for item in (running, waiting, refused)]
+    running, waiting, rejected = (make_attempt(5) for _ in range(3))
+    taken = [batch.offer(item) for item in (running, waiting, rejected)]
     batch.take_next()
     running.start(0.0)
     batch.break_all()
     assert_that(taken, Equals([True, True, False]))
-    endings = list_endings([running, waiting, refused])
+    endings = list_endings([running, waiting, rejected])
     assert_that(endings, Equals(["broken", "not_run", ""]))
     assert_that(running.phase, Equals(AttemptPhase.DONE))
 
 
-def test_budget_fills_with_time():
+def test_budget_refills_over_time():
     budget = Budget(rate=10.0, burst=5.0, now=0.0)
     waits = [budget.take(5.0, now) for now in (0.0, 0.25, 0.5)]
     assert_that(waits, Equals([0.0, 0.25, 0.0]))
@@ -90,7 +90,7 @@
     assert_that(waits, Equals((0.0, 5.0)))
 
 
-def test_lagged_value_shows_each_change_late():
+def test_lagged_value_delays_each_change():
     value = LaggedValue(value="a", lag_s=2.0, now=0.0)
     value.set("b", 1.0)
     value.set("c", 2.0)
@@ -112,7 +112,7 @@
     assert_that(events, Equals(wanted))
 
 
-def test_fault_strikes_by_path_method_and_count():
+def test_fault_applies_by_path_method_and_count():
     faults = Faults()
     faults.add(
         {
@@ -134,7 +134,7 @@
     assert_that(strikes, Equals([False, False, True, False]))
 
 
-def test_fault_strikes_by_the_chance_of_its_generator():
+def test_fault_probability_draws_from_its_seeded_generator():
     def count(seed: int) -> int:
         faults = Faults(rng=random.Random(seed))
         faults.add({"kind": FaultKind.REFUSE, "probability": 0.5})
@@ -166,7 +166,7 @@
     assert_that(same, Equals(prompt == other))
 
 
-def test_prompt_of_a_chat_with_parts():
+def test_prompt_of_a_chat_joins_its_text_parts():
     parts = [{"type": "text", "text": "a"}, {"type": "text", "text": "b"}]
     body = {
         "messages": [
--- a/test/standin/test_process.py
+++ b/test/standin/test_process.py
@@ -34,18 +34,18 @@
 )
 
 
-def test_processes_enter_the_host_list(runner, http, control):
+def test_processes_register_in_the_host_list(runner, http, control):
     addresses: list[str] = []
     tasks: list[asyncio.Task[None]] = []
 
-    async def announce_from(process) -> str:
+    async def start_process(process) -> str:
         count = len(addresses)
         tasks.append(asyncio.create_task(process))
         await wait_until(lambda: len(addresses) > count)
         return addresses[-1]
 
     async def run_all():
-        store = await announce_from(
+        platform = await start_process(
             run_platform(
                 listen=Listen(),
                 options=PlatformOptions(),
@@ -53,23 +53,23 @@
                 announce=addresses.append,
             )
         )
-        engine = await announce_from(
+        engine = await start_process(
             run_engines(
                 hosts=(HOST,),
                 options=EngineOptions(),
-                platform=store,
+                platform=platform,
                 announce=addresses.append,
             )
         )
-        service = await announce_from(
+        service = await start_process(
             run_service(
                 entry=SERVICE,
                 options=ServiceOptions(),
-                platform=store,
+                platform=platform,
                 announce=addresses.append,
             )
         )
-        source = HttpHostListSource(http=http, address=store)
+        source = HttpHostListSource(http=http, address=platform)
         for _ in range(MAX_FETCHES):
             listed = (await source.fetch()).unwrap()
             if listed["hosts"] and listed["services"]:
@@ -87,5 +87,5 @@
     assert_that(shown, Equals(("host-1", False)))
 
 
-def test_address_is_split():
+def test_listen_address_is_split_into_host_and_port():
     assert_that(parse_listen("127.0.0.1:80"), Equals(Listen("127.0.0.1", 80)))
--- a/test/standin/test_second_send.py
+++ b/test/standin/test_second_send.py
@@ -1,4 +1,8 @@
-"""How often a request runs when its reused connection is closed."""
+"""Tests of how often a request runs when its reused connection is closed.
+
+The HTTP client resends such a request on a new connection without reporting
+it, so that the service runs it twice unless a `SendGuard` prevents this.
+"""
 
 import functools
 
@@ -11,7 +15,7 @@
 from chervilrock.standin.service import ServiceStandIn
 from test.standin.calls import call, make_client
 
-CALLS = 3
+CALL_COUNT = 3
 
 
 @pytest.fixture
@@ -25,12 +29,12 @@
 
 @pytest.fixture
 def post(runner, service):
-    """Posts the calls one after the other; returns how many were answered."""
+    """Posts the calls in sequence and returns how many were answered."""
     client = runner.run(make_client())
 
     async def post_all(make_guard) -> int:
         answered = 0
-        for number in range(CALLS):
+        for number in range(CALL_COUNT):
             guard = make_guard()
             got = await call(
                 client,
@@ -46,31 +50,31 @@
     client.close()
 
 
-def test_reused_connection_sends_twice_in_silence(post, service):
+def test_closed_reused_connection_causes_an_unreported_resend(post, service):
     answered = post(functools.partial(SendGuard, once=False))
-    assert_that(answered, Equals(CALLS))
+    assert_that(answered, Equals(CALL_COUNT))
     assert_that(service.executions, Equals({"r0": 1, "r1": 2, "r2": 2}))
 
 
 def test_fresh_connection_sends_once(post, service):
     answered = post(functools.partial(SendGuard, once=False, fresh=True))
-    assert_that(answered, Equals(CALLS))
+    assert_that(answered, Equals(CALL_COUNT))
     assert_that(service.executions, Equals({"r0": 1, "r1": 1, "r2": 1}))
 
 
-def test_guard_stops_the_second_send(post, service):
+def test_guard_prevents_the_second_send(post, service):
     answered = post(functools.partial(SendGuard, once=True))
-    assert_that(answered, Equals(CALLS - 1))
+    assert_that(answered, Equals(CALL_COUNT - 1))
     assert_that(service.executions, Equals({"r0": 1, "r1": 1, "r2": 1}))
 
 
 def test_fresh_connection_with_the_guard_sends_once(post, service):
     answered = post(functools.partial(SendGuard, once=True, fresh=True))
-    assert_that(answered, Equals(CALLS))
+    assert_that(answered, Equals(CALL_COUNT))
     assert_that(service.executions, Equals({"r0": 1, "r1": 1, "r2": 1}))
 
 
-def test_guard_tells_that_nothing_was_sent(runner, service, post):
+def test_guard_reports_that_nothing_was_sent(runner, service, post):
     guard = SendGuard(once=True)
     service.kill()
     post(lambda: guard)
--- a/test/tasks/region_site.py
+++ b/test/tasks/region_site.py
@@ -1,4 +1,4 @@
-"""A small installation whose nodes have a clock that a test can put forward."""
+"""A small installation whose nodes share a clock that a test can advance."""
 
 import asyncio
 import json
@@ -37,17 +37,17 @@
 
 
 class ShiftedClock:
-    """The clock of the process, put forward by a test."""
+    """Clock of the process plus an offset that a test sets."""
 
     def __init__(self):
-        self.shift = 0.0
+        self.shift_s = 0.0
 
     def __call__(self):
-        return read_clock() + self.shift
+        return read_clock() + self.shift_s
 
 
 class RegionSite:
-    """Stand-ins, and entry nodes on one clock."""
+    """Stand-ins, and entry nodes that share one clock."""
 
     def __init__(self, *, fenced):
         self.clock = ShiftedClock()
@@ -86,17 +86,19 @@
         self.http.close()
 
     async def begin_outage(self):
-        """Let the log service fail, and wait until each node has noticed."""
+        """Make the log service fail and wait until each node reports it."""
         fault = FaultRule(kind=FaultKind.OUTAGE, path="/log")
         self.installation.platform.faults.add(fault)
         for number in range(len(self.nodes)):
-            await self.wait_status(lambda one: not one["log_reachable"], number)
+            await self.wait_status(
+                lambda status: not status["log_reachable"], number
+            )
 
     def end_outage(self):
         self.installation.platform.faults.clear()
 
     async def send(self, method, path, value=None, number=0):
-        """Return the status and the decoded body of an answer of a node."""
+        """Send a request to a node; return the status and the decoded body."""
         body = None if value is None else msgspec.json.encode(value)
         url = f"http://{self.nodes[number].address}{path}"
         result = await self.http.request(method, url, timeout_s=20, body=body)
@@ -112,31 +114,31 @@
         return status
 
     async def complete(self, number=0):
-        """Return the status of a completion request."""
+        """Send a completion request and return the HTTP status."""
         path = "/v1/chat/completions"
         status, _ = await self.send("POST", path, BODY, number)
         return status
 
-    async def wait_status(self, fits, number=0):
-        """Return the first status of a node that fits."""
-        while not fits(status := await self.read_status(number)):
+    async def wait_status(self, condition, number=0):
+        """Poll the status of a node until it meets a condition; return it."""
+        while not condition(status := await self.read_status(number)):
             await asyncio.sleep(0)
         return status
 
-    async def wait_answer(self, number=0):
-        """Wait until a request is answered."""
+    async def wait_until_answered(self, number=0):
+        """Send completion requests until one is answered with status 200."""
         while await self.complete(number) != 200:
             await asyncio.sleep(0)
 
-    async def wait_probes(self, host, count):
-        """Wait until the engine of a host got some more requests."""
+    async def wait_requests(self, host, count):
+        """Wait until the engine of a host gets `count` more requests."""
         engine = self.installation.engines[host]
         wanted = engine.arrivals + count
         while engine.arrivals < wanted:
             await asyncio.sleep(0)
 
     def find_shard(self, host):
-        """Return what the engine of a host holds."""
+        """Return the shard on the engine of a host, if any."""
         return self.installation.engines[host].shards.shard
 
 
@@ -154,7 +156,7 @@
 
 
 def is_serving(status):
-    """Return whether each group of a status serves and misses no host."""
+    """Return whether there are groups and all serve with no host missing."""
     groups = status["groups"]
     return bool(groups) and all(
         group["phase"] == "serving" and not group["missing"] for group in groups
--- a/test/tasks/test_outages.py
+++ b/test/tasks/test_outages.py
@@ -1,4 +1,4 @@
-"""A region while the log service is in outage, over real stand-ins."""
+"""Tests of a region during an outage of the log service, on stand-ins."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def run_site():
-    """Run a test against a region whose group serves, and stop it."""
+    """Run a test on a region whose group serves, and stop the region."""
 
     def run(test, fenced=(True,) * 3):
         async def run_all():
@@ -26,7 +26,7 @@
                     await site.add_node()
                     await site.apply()
                     status = await site.wait_status(is_serving)
-                    await site.wait_answer()
+                    await site.wait_until_answered()
                     await test(site, status["groups"][0])
             finally:
                 await site.stop()
@@ -36,7 +36,7 @@
     return run
 
 
-async def wait_read(site, kind):
+async def wait_record(site, kind):
     """Wait until the node has read a record of a kind; return the record."""
     stream = site.installation.platform.get_stream("region.north")
     while True:
@@ -49,21 +49,21 @@
 
 
 async def lose_host_in_outage(site, host):
-    """Let the log fail and a host die, for longer than any wait."""
+    """Begin an outage, kill a host and advance the clock past all timeouts."""
     await site.begin_outage()
     site.installation.kill_host(host)
-    site.clock.shift += OUTAGE_S
+    site.clock.shift_s += OUTAGE_S
 
 
 def test_groups_serve_through_an_outage_longer_than_the_lease(run_site):
     async def check(site, group):
         node = site.nodes[0]
         await site.begin_outage()
-        site.clock.shift += OUTAGE_S
+        site.clock.shift_s += OUTAGE_S
         read = node.metrics.registry.get_sample_value
         while read("chervilrock_lease_held"):
             await asyncio.sleep(0)
-        await site.wait_answer()
+        await site.wait_until_answered()
         status = await site.wait_status(is_serving)
         assert_that(status["log_reachable"], Equals(False))
         assert_that(status["groups"], Equals([group]))
@@ -71,15 +71,15 @@
     run_site(check)
 
 
-def test_granted_spare_replaces_a_host_that_dies_in_an_outage(run_site):
+def test_granted_spare_replaces_a_host_that_fails_in_an_outage(run_site):
     async def check(site, group):
-        reserve, _ = await wait_read(site, "spares-granted")
+        reserve, _ = await wait_record(site, "spares-granted")
         (spare,) = HOSTS - set(group["hosts"])
-        dead = group["hosts"][1]
-        await lose_host_in_outage(site, dead)
+        failed_host = group["hosts"][1]
+        await lose_host_in_outage(site, failed_host)
         while not (site.find_shard(spare) or {}).get("fence"):
             await asyncio.sleep(0)
-        await site.wait_answer()
+        await site.wait_until_answered()
         status = await site.wait_status(is_serving)
         assert_that(status["log_reachable"], Equals(False))
         expected = [group["hosts"][0], spare]
@@ -87,11 +87,11 @@
         assert_that(repaired["hosts"], Equals(expected))
         assert_that(repaired["fence"], Equals(reserve))
         site.end_outage()
-        _, record = await wait_read(site, "group-repaired")
+        _, record = await wait_record(site, "group-repaired")
         assert_that(record[-1][-1], Equals(reserve))
         status = await site.wait_status(is_serving)
         assert_that(status["groups"], Equals([repaired]))
-        await site.wait_answer()
+        await site.wait_until_answered()
 
     run_site(check)
 
@@ -104,11 +104,11 @@
 ):
     async def check(site, group):
         (spare,) = HOSTS - set(group["hosts"])
-        dead = group["hosts"][1]
+        failed_host = group["hosts"][1]
         before = site.find_shard(group["hosts"][0])
-        await lose_host_in_outage(site, dead)
+        await lose_host_in_outage(site, failed_host)
         await site.wait_status(lambda status: not is_serving(status))
-        await site.wait_probes(spare, 20)
+        await site.wait_requests(spare, 20)
         assert_that(site.find_shard(spare), Equals(None))
         assert_that(site.find_shard(group["hosts"][0]), Equals(before))
         assert_that(await site.complete(), Equals(503))
@@ -116,13 +116,15 @@
     run_site(check, fenced)
 
 
-def test_node_that_starts_in_an_outage_serves_nothing_and_says_so(run_site):
+def test_node_that_starts_in_an_outage_reports_that_it_cannot_serve(run_site):
     async def check(site, group):
         await site.begin_outage()
         await site.add_node()
-        # The configuration comes by the peer; the region cannot.
-        status = await site.wait_status(lambda one: one["revision"], number=1)
-        await site.wait_probes("host-0", 20)
+        # The peer supplies the configuration but not the state of the region.
+        status = await site.wait_status(
+            lambda report: report["revision"], number=1
+        )
+        await site.wait_requests("host-0", 20)
         assert_that(await site.complete(number=1), Equals(503))
         ready, _ = await site.send("GET", "/ready", number=1)
         assert_that(ready, Equals(503))
@@ -130,7 +132,7 @@
         assert_that(status["region_known"], Equals(False))
         assert_that(status["groups"], Equals([]))
         site.end_outage()
-        await site.wait_answer(number=1)
+        await site.wait_until_answered(number=1)
         status = await site.read_status(number=1)
         assert_that(status["region_known"], Equals(True))
         assert_that(status["groups"], Equals([group]))
--- a/test/tasks/test_peers.py
+++ b/test/tasks/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the peer task over a fake channel, and of digests from outside."""
+"""Tests of the peer task on a fake channel, and of untrusted digests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -45,13 +45,13 @@
 )
 
 
-class Wire(PeerChannel):
-    """Carries digests between the tasks of a test.
+class FakePeerChannel(PeerChannel):
+    """Channel that passes digests between the tasks of a test.
 
     Attributes:
       tasks: running tasks by address
-      answers: answers that take the place of a node, by address
-      sent: digests with their receivers
+      answers: fixed answers that replace those of a node, by address
+      sent: addresses of receivers with the digests sent to them
     """
 
     def __init__(self) -> None:
@@ -74,21 +74,21 @@
 
 
 class Site:
-    """Peer tasks that share a wire and a clock."""
+    """Peer tasks that share a channel and a clock."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.wire = Wire()
+        self.channel = FakePeerChannel()
         self.tables: dict[str, MemberTable] = {}
-        self.shelves: dict[str, FakeConfiguration] = {}
+        self.configurations: dict[str, FakeConfiguration] = {}
 
     def add(self, name: str, seeds: tuple[str, ...]) -> PeerTask:
         table = MemberTable(own=make_node(name))
-        localconfiguration = FakeConfiguration()
+        configuration = FakeConfiguration()
         task = PeerTask(
             table=table,
-            channel=self.wire,
-            localconfiguration=localconfiguration,
+            channel=self.channel,
+            localconfiguration=configuration,
             shares=FakeShareTracker(),
             seeds=seeds,
             clock=lambda: self.now,
@@ -96,41 +96,41 @@
             before_exchange=lambda: table.update_own(
                 phase=table.own.phase,
                 load=0.0,
-                revision=localconfiguration.revision,
+                revision=configuration.revision,
             ),
         )
         address = table.own.address
-        self.wire.tasks[address] = task
-        self.tables[name], self.shelves[name] = table, localconfiguration
+        self.channel.tasks[address] = task
+        self.tables[name], self.configurations[name] = table, configuration
         return task
 
     async def run(self, seconds: float) -> None:
-        """Lets every task begin its intervals for a time."""
+        """Advances the clock step by step and runs all tasks at each step."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
-            for task in list(self.wire.tasks.values()):
+            for task in list(self.channel.tasks.values()):
                 task.begin()
                 await task.wait_until_idle()
                 task.begin_immediate()
                 await task.wait_until_idle()
 
     def see(self, name: str) -> list[str]:
-        return sorted(p.node for p in self.tables[name].live(self.now))
+        return sorted(peer.node for peer in self.tables[name].live(self.now))
 
 
 @pytest.fixture
 def site() -> Site:
     """Three nodes of a data centre; the first is the seed of the others."""
-    made = Site()
+    new_site = Site()
     for name in "abc":
-        made.add(name, ("a:1",))
-    return made
+        new_site.add(name, ("a:1",))
+    return new_site
 
 
 @pytest.fixture
 def logged(monkeypatch: pytest.MonkeyPatch) -> list[tuple[str, Any]]:
-    """The events that were emitted, by name and node."""
+    """Names of the emitted events, each with its node."""
     emitted: list[tuple[str, Any]] = []
 
     def emit(event: events.Event, **fields: Any) -> None:
@@ -141,7 +141,7 @@
     return emitted
 
 
-def test_tasks_find_each_other_by_a_seed(site: Site) -> None:
+def test_tasks_discover_each_other_through_a_seed(site: Site) -> None:
     asyncio.run(site.run(3.0))
     for name in "abc":
         assert_that(site.see(name), Equals(["a", "b", "c"]))
@@ -152,9 +152,9 @@
 ) -> None:
     async def drive() -> None:
         await site.run(5.0)
-        lost = site.wire.tasks.pop("c:1")
+        lost = site.channel.tasks.pop("c:1")
         await site.run(10.0)
-        site.wire.tasks["c:1"] = lost
+        site.channel.tasks["c:1"] = lost
         await site.run(5.0)
 
     asyncio.run(drive())
@@ -167,12 +167,12 @@
 ) -> None:
     async def drive() -> None:
         await site.run(5.0)
-        table, task = site.tables["c"], site.wire.tasks["c:1"]
+        table, task = site.tables["c"], site.channel.tasks["c:1"]
         for phase in (NodePhase.LEAVING, NodePhase.STOPPED):
             table.update_own(phase=phase, load=0.0, revision=0)
             await task.announce()
             await site.run(1.0)
-        del site.wire.tasks["c:1"]
+        del site.channel.tasks["c:1"]
         await site.run(10.0)
 
     asyncio.run(drive())
@@ -180,18 +180,23 @@
     assert_that([name for name, _ in logged], HasLength(0))
 
 
-def test_a_configuration_travels_only_to_who_asks(site: Site) -> None:
+def test_configuration_is_sent_only_to_peers_that_request_it(
+    site: Site,
+) -> None:
     async def drive() -> None:
         await site.run(5.0)
-        for localconfiguration in (site.shelves["a"], site.shelves["b"]):
-            localconfiguration.adopt(make_stored(1), site.now)
-        site.wire.sent.clear()
+        for configuration in (
+            site.configurations["a"],
+            site.configurations["b"],
+        ):
+            configuration.adopt(make_stored(1), site.now)
+        site.channel.sent.clear()
         await site.run(5.0)
 
     asyncio.run(drive())
-    assert_that(site.shelves["c"].adopted_revisions, Equals([1]))
+    assert_that(site.configurations["c"].adopted_revisions, Equals([1]))
     carried = [
-        digest for _, digest in site.wire.sent if "configuration" in digest
+        digest for _, digest in site.channel.sent if "configuration" in digest
     ]
     assert_that(len(carried) <= 1, Equals(True))
 
@@ -212,13 +217,13 @@
         msgspec.json.encode({"sender": make_node("x", address="y" * 1000)}),
     ],
 )
-def test_a_peer_that_answers_nonsense_does_no_harm(
+def test_malformed_answer_of_a_peer_leaves_membership_intact(
     site: Site, answer: bytes
 ) -> None:
     async def drive() -> None:
         await site.run(3.0)
-        del site.wire.tasks["a:1"]
-        site.wire.answers["a:1"] = answer
+        del site.channel.tasks["a:1"]
+        site.channel.answers["a:1"] = answer
         site.add("d", ("a:1", "b:1"))
         await site.run(12.0)
 
@@ -227,17 +232,19 @@
         assert_that(site.see(name), Equals(["b", "c", "d"]))
 
 
-def test_a_peer_that_answers_for_this_node_does_no_harm(site: Site) -> None:
-    task = site.wire.tasks["a:1"]
+def test_answer_in_the_name_of_this_node_leaves_membership_intact(
+    site: Site,
+) -> None:
+    task = site.channel.tasks["a:1"]
     answer = PeerDigest(sender=make_node("a", heartbeat=10**6))
-    site.wire.answers["b:1"] = msgspec.json.encode(answer)
+    site.channel.answers["b:1"] = msgspec.json.encode(answer)
     asyncio.run(site.run(8.0))
     assert_that(site.see("a"), Contains("c"))
     assert_that(task, IsInstance(PeerTask))
 
 
-def test_an_error_in_an_exchange_ends_the_task(site: Site) -> None:
-    class Broken(PeerChannel):
+def test_exception_in_an_exchange_ends_the_task(site: Site) -> None:
+    class FailingChannel(PeerChannel):
         async def exchange(
             self, address: str, digest: PeerDigest
         ) -> Result[PeerDigest, PlatformError]:
@@ -245,7 +252,7 @@
 
     async def drive() -> None:
         task = site.add("d", ("a:1",))
-        task._channel = Broken()
+        task._channel = FailingChannel()
         task.begin()
         with pytest.raises(RuntimeError, match="broken"):
             await task.wait_until_idle()
@@ -256,7 +263,7 @@
 
 
 def is_refused(body: bytes) -> bool:
-    """Says whether bytes are refused as a digest, without an exception."""
+    """Returns whether bytes are rejected as a digest, without an exception."""
     return isinstance(decode_digest(body), Failure)
 
 
@@ -345,24 +352,24 @@
     assert_that(is_refused(body), Equals(True))
 
 
-class Context(PeerContext):
-    """A node that answers digests with its own entry."""
+class FakePeerContext(PeerContext):
+    """Node that answers each digest with its own entry."""
 
     def answer_digest(self, digest: PeerDigest) -> PeerDigest:
         return PeerDigest(sender=make_node("a"))
 
 
-Post = Callable[[bytes], Awaitable[int]]
-Drive = Callable[[Callable[[Post], Awaitable[None]]], None]
+PostBody = Callable[[bytes], Awaitable[int]]
+DriveHandler = Callable[[Callable[[PostBody], Awaitable[None]]], None]
 
 
 @pytest.fixture
-def drive_handler() -> Drive:
-    """Runs a function with a way to post bodies to the handler."""
+def drive_handler() -> DriveHandler:
+    """Runs a function that can post request bodies to the handler."""
 
-    async def drive(use: Callable[[Post], Awaitable[None]]) -> None:
+    async def drive(use: Callable[[PostBody], Awaitable[None]]) -> None:
         sockets = bind_sockets(0, "127.0.0.1")
-        server = HTTPServer(Application(make_peer_routes(Context())))
+        server = HTTPServer(Application(make_peer_routes(FakePeerContext())))
         server.add_sockets(sockets)
         port = sockets[0].getsockname()[1]
         client = CurlAsyncHTTPClient(force_instance=True)
@@ -384,14 +391,14 @@
     return lambda use: asyncio.run(drive(use))
 
 
-def test_the_handler_answers_400_to_what_is_no_digest(
-    drive_handler: Drive,
+def test_handler_answers_400_to_invalid_digests(
+    drive_handler: DriveHandler,
 ) -> None:
     good = msgspec.json.encode({"sender": make_node("b")})
     bodies = [b"", b"{", b"\xff", b"[]", good[:-1], good.replace(b"0", b"x")]
     bodies.append(msgspec.json.encode({"sender": make_node("b", load=-1.0)}))
 
-    async def use(post: Post) -> None:
+    async def use(post: PostBody) -> None:
         assert_that(await post(good), Equals(200))
         for body in bodies:
             assert_that(await post(body), Equals(400))
--- a/test/test_bench_runner.py
+++ b/test/test_bench_runner.py
@@ -34,12 +34,12 @@
     assert_that(select(benches, []), Equals(list(benches.values())))
 
 
-def test_names_select_in_their_order(benches):
+def test_benches_are_selected_in_the_given_order(benches):
     selected = select(benches, ["beta", "alpha"])
     assert_that([bench.name for bench in selected], Equals(["beta", "alpha"]))
 
 
-def test_unknown_name_is_refused_with_the_known_ones(benches):
+def test_unknown_name_is_rejected_with_a_list_of_known_names(benches):
     with pytest.raises(typer.BadParameter) as caught:
         select(benches, ["alpha", "gamma"])
     assert_that(
@@ -57,5 +57,5 @@
     assert_that(undocumented, HasLength(0))
 
 
-def test_runner_is_no_bench():
+def test_runner_is_not_listed_as_a_bench():
     assert_that(list(find_benches()), Not(Contains("__main__")))
--- a/test/test_known_loads.py
+++ b/test/test_known_loads.py
@@ -1,4 +1,4 @@
-"""What nodes believed of loads against what ran, from their logs."""
+"""Tests of the comparison of estimated with actual loads from node logs."""
 
 import json
 
@@ -8,7 +8,7 @@
 from tools.known_loads import count_loads, make_table, parse_lines, Send
 
 
-def write(at_ms: int, event: str, request: str, **fields: object) -> str:
+def make_line(at_ms: int, event: str, request: str, **fields: object) -> str:
     line = {
         "time": f"2026-01-01T00:00:00.{at_ms:03}+00:00",
         "event": event,
@@ -18,8 +18,10 @@
     return f"0.{at_ms:03} node-1 {json.dumps(line)}"
 
 
-def send(at_ms: int, request: str, *, server: str = "s1", own: int = 0) -> str:
-    return write(
+def make_send_line(
+    at_ms: int, request: str, *, server: str = "s1", own: int = 0
+) -> str:
+    return make_line(
         at_ms,
         "request-sent",
         request,
@@ -30,41 +32,43 @@
     )
 
 
-def count(*texts: str) -> list[Send]:
+def count_sends(*texts: str) -> list[Send]:
     return count_loads(parse_lines(texts), prefix="g.")
 
 
-def test_a_send_is_compared_with_what_runs_at_its_server() -> None:
-    sends = count(
-        send(30, "c", own=2),
-        send(10, "a"),
-        send(20, "b", server="s2"),
+def test_send_is_compared_with_the_requests_running_on_its_server() -> None:
+    sends = count_sends(
+        make_send_line(30, "c", own=2),
+        make_send_line(10, "a"),
+        make_send_line(20, "b", server="s2"),
         "no log line",
         '{"event": "view-in-force"}',
     )
     assert_that(sends, Equals([Send(1, 0), Send(1, 0), Send(3, 1)]))
 
 
-def test_requests_that_ended_or_moved_do_not_run_any_more() -> None:
-    sends = count(
-        send(10, "a"),
-        send(20, "b"),
-        write(30, "request-ended", "a"),
-        write(40, "request-sent-again", "b", reason="not-run"),
-        send(50, "b", server="s2"),
-        send(60, "c"),
+def test_requests_that_ended_or_moved_no_longer_count_as_running() -> None:
+    sends = count_sends(
+        make_send_line(10, "a"),
+        make_send_line(20, "b"),
+        make_line(30, "request-ended", "a"),
+        make_line(40, "request-sent-again", "b", reason="not-run"),
+        make_send_line(50, "b", server="s2"),
+        make_send_line(60, "c"),
     )
     assert_that(sends[-1], Equals(Send(1, 0)))
 
 
-def test_a_process_that_starts_again_has_nothing_running() -> None:
-    sends = count(
-        send(10, "a"), write(20, "serving-started", ""), send(30, "b")
+def test_restarted_process_has_no_running_requests() -> None:
+    sends = count_sends(
+        make_send_line(10, "a"),
+        make_line(20, "serving-started", ""),
+        make_send_line(30, "b"),
     )
     assert_that(sends[-1], Equals(Send(1, 0)))
 
 
-def test_the_table_tells_sends_to_full_servers_that_seemed_free() -> None:
+def test_table_counts_sends_to_full_servers_that_seemed_free() -> None:
     sends = [Send(3, 5), Send(5, 5), Send(3, 3), Send(1, 3)]
     table = make_table(sends, slots=4, unrun=1)
     assert_that(table.sends, Equals(4))
--- a/test/test_processes.py
+++ b/test/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes, over loopback."""
+"""Tests of the request path across separate processes on loopback."""
 
 from collections.abc import Iterator
 import contextlib
@@ -16,13 +16,13 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals
 
-RUN = (
+COMMAND = (
     sys.executable,
     "-c",
     "import sys; from chervilrock.ui import main; sys.exit(main())",
 )
-LIMIT_S = 60.0
-FILE = """
+TIMEOUT_S = 60.0
+CONFIGURATION = """
 name: trial
 data_centres: [east-1]
 models:
@@ -35,9 +35,9 @@
 
 @contextlib.contextmanager
 def start(*arguments: str) -> Iterator[Process]:
-    """Run a command as a process, which is killed at the end."""
+    """Run a command as a process and kill it on exit."""
     process = subprocess.Popen(
-        [*RUN, *arguments],
+        [*COMMAND, *arguments],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
@@ -49,12 +49,12 @@
         process.communicate()
 
 
-def read_address(process: Process, mark: str) -> str:
-    """Return the address behind a mark in what a process prints."""
+def read_address(process: Process, prefix: str) -> str:
+    """Return the address that follows a prefix in the output of a process."""
     assert process.stdout is not None
     for line in process.stdout:
-        if mark in line:
-            return line.rsplit(mark, 1)[1].strip()
+        if prefix in line:
+            return line.rsplit(prefix, 1)[1].strip()
     raise AssertionError("the process ended")
 
 
@@ -67,14 +67,14 @@
         headers={"Content-Type": "application/json"},
     )
     try:
-        with urllib.request.urlopen(request, timeout=LIMIT_S) as answer:
+        with urllib.request.urlopen(request, timeout=TIMEOUT_S) as answer:
             return answer.status, json.load(answer)
     except urllib.error.HTTPError as error:
         return error.code, json.load(error)
 
 
 def make_entry(number: int, address: str) -> dict[str, object]:
-    """Return a host of the host list."""
+    """Return an entry of the host list."""
     return {
         "host": f"host-{number}",
         "address": address,
@@ -104,33 +104,41 @@
         ]
         body = {"hosts": hosts, "services": [], "age_ms": 0}
         call("PUT", f"http://{store}/hosts", body)
-        place = ("--region", "east", "--data-centre", "east-1")
+        location = ("--region", "east", "--data-centre", "east-1")
         node = stack.enter_context(
             start(
-                "serve", "--node", "a", *local, *place, "--log-service", store
+                "serve",
+                "--node",
+                "a",
+                *local,
+                *location,
+                "--log-service",
+                store,
             )
         )
         address = read_address(node, "address=")
         file = tmp_path / "trial.yaml"
-        file.write_text(FILE)
+        file.write_text(CONFIGURATION)
         applied = subprocess.run(
-            [*RUN, "apply", str(file), "--node", address, "--wait"],
-            timeout=LIMIT_S,
+            [*COMMAND, "apply", str(file), "--node", address, "--wait"],
+            timeout=TIMEOUT_S,
             check=False,
         )
         assert_that(applied.returncode, Equals(0))
-        assert_that(wait_answer(address)["object"], Equals("text_completion"))
+        assert_that(
+            wait_until_answered(address)["object"], Equals("text_completion")
+        )
         node.send_signal(signal.SIGTERM)
-        output, _ = node.communicate(timeout=LIMIT_S)
+        output, _ = node.communicate(timeout=TIMEOUT_S)
         assert_that(node.returncode, Equals(0))
         assert_that(output, Contains("E1004 node-stopped"))
 
 
-def wait_answer(address: str) -> Any:
-    """Send a request until a group answers it; each refusal is `not_run`."""
+def wait_until_answered(address: str) -> Any:
+    """Repeat a request until it is answered; rejections must be `not_run`."""
     url = f"http://{address}/v1/completions"
-    limit = time.monotonic() + LIMIT_S
-    while time.monotonic() < limit:
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
         status, answer = call("POST", url, REQUEST)
         if status == 200:
             return answer
@@ -138,21 +146,21 @@
     raise AssertionError("no group answered")
 
 
-def test_settings_are_refused_together() -> None:
-    refused = subprocess.run(
-        [*RUN, "serve", "--lease-ms", "x", "--listen", "nowhere"],
+def test_all_invalid_settings_are_reported_together() -> None:
+    result = subprocess.run(
+        [*COMMAND, "serve", "--lease-ms", "x", "--listen", "nowhere"],
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
-    assert_that(refused.returncode, Equals(1))
+    assert_that(result.returncode, Equals(1))
     for flag in ("--lease-ms", "--listen", "--node"):
-        assert_that(refused.stderr, Contains(flag))
+        assert_that(result.stderr, Contains(flag))
 
 
 @pytest.fixture(autouse=True)
-def no_settings(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep the settings of this machine out of the processes."""
+def clear_settings(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Keep settings in the environment from reaching the processes."""
     for name in ("NODE", "LISTEN", "REGION", "PEERS", "LOG_SERVICE"):
         monkeypatch.delenv(f"CHERVILROCK_{name}", raising=False)
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and the seeds that ever failed."""
+"""Tests of a short soak run, with the seeds that have failed before."""
 
 import asyncio
 import pathlib
@@ -7,14 +7,14 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from bench import soak as module
+from bench import soak as soak_module
 from bench.soak import find_ports, Plan, soak
 
 SHORT_S = 6.0
 
 
 @pytest.mark.parametrize("seed", [7])
-def test_promises_hold_while_processes_and_links_fail(
+def test_guarantees_hold_while_processes_and_links_fail(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
     outcome = asyncio.run(soak(Plan(seed=seed, seconds=SHORT_S), tmp_path))
@@ -24,7 +24,7 @@
 
 def test_no_two_nodes_of_a_run_get_the_same_port(monkeypatch) -> None:
     # Nodes choose their ports before any of them listens.
-    monkeypatch.setattr(module, "PORTS", (20_000, 20_100))
+    monkeypatch.setattr(soak_module, "PORTS", (20_000, 20_100))
     taken: set[int] = set()
     ports = [
         port
