--- a/test/standin/test_second_send.py
+++ b/test/standin/test_second_send.py
@@ -1,6 +1,6 @@
 """Tests of how often a request runs when its reused connection is closed.
 
-The HTTP client resends such a request on a new connection without reporting
+libcurl resends such a request on a new connection without reporting
 it, so that the service runs it twice unless a `SendGuard` prevents this.
 """
 
