--- a/bench/probes.py
+++ b/bench/probes.py
@@ -1,12 +1,13 @@
 """Cost of probes of model engines.
 
-Engine stand-ins run in a process of their own. The probe task of the product
-probes each of them once a second, and the processor time of this process is
-measured, less that of the same time without a probe. `client` is `request` for
-the client that sets its handle up for each request, and `poll` for the one
-that keeps a handle for each host. `request_bytes` and `answer_bytes` are those
-of the last probe of an engine whose state has not changed, without the headers
-of TCP and IP. `core_percent` is the share of a core at 50 hosts.
+Engine stand-ins run in a separate process. The product's probe task probes
+each of them once a second. The cost is the processor time of this process less
+that of an equal period without probes. `client` is `request` for the client
+that sets up a handle for each request, and `poll` for the one that keeps a
+handle for each host. `request_bytes` and `answer_bytes` are the sizes of the
+last probe of an engine whose state has not changed and of its response,
+without the headers of TCP and IP. `core_percent` is the share of a core at 50
+hosts.
 """
 
 import asyncio
@@ -42,11 +43,11 @@
 
 _US_PER_S = 1e6
 _ANSWER_END = b"\r\n\r\n"
-_BUFFER = 65_536
+_BUFFER_BYTES = 65_536
 
 
 class Clients(NamedTuple):
-    """The clients to compare, and what they stand on."""
+    """The clients to compare, and the transports that they use."""
 
     http: HttpClient
     poller: Poller
@@ -70,7 +71,7 @@
 
 
 def serve(pipe: Connection) -> None:
-    """Runs the engines until told to stop."""
+    """Runs the engines until a message arrives on the pipe."""
     asyncio.run(_serve(pipe))
 
 
@@ -156,7 +157,7 @@
 async def _measure_task(
     engine: ModelEngine, addresses: tuple[str, ...], seconds: float
 ) -> float:
-    """Returns the processor time in which the hosts are probed."""
+    """Returns the processor time used while the hosts are probed."""
     outbox: Mailbox[HostProbed] = Mailbox()
     task = ProbeTask(
         engine=engine, clock=read_clock, interval_s=INTERVAL_S, outbox=outbox
@@ -181,11 +182,11 @@
 
 
 def count_bytes(address: str, *, tagged: bool) -> tuple[int, int]:
-    """Returns the bytes of a probe and of its answer.
+    """Returns the sizes of a probe and of its response in bytes.
 
     Args:
       address: IP:port of an engine
-      tagged: whether to ask for a state that has changed
+      tagged: whether to request the state only if it has changed
     """
     request = f"GET /control/state HTTP/1.1\r\nHost: {address}\r\n".encode()
     request += b"Accept: */*\r\n"
@@ -207,12 +208,12 @@
     connection.sendall(request)
     answer = b""
     while _ANSWER_END not in answer:
-        answer += connection.recv(_BUFFER)
+        answer += connection.recv(_BUFFER_BYTES)
     return answer + _read_rest(connection, answer)
 
 
 def _read_rest(connection: socket.socket, answer: bytes) -> bytes:
-    """Returns what is missing of the body."""
+    """Reads and returns the rest of the body."""
     head, _, body = answer.partition(_ANSWER_END)
     length = 0
     for line in head.lower().split(b"\r\n"):
@@ -220,5 +221,5 @@
             length = int(line.partition(b":")[2])
     rest = b""
     while len(body) + len(rest) < length:
-        rest += connection.recv(_BUFFER)
+        rest += connection.recv(_BUFFER_BYTES)
     return rest
--- a/bench/queue_model.py
+++ b/bench/queue_model.py
@@ -1,16 +1,16 @@
-"""Model of a replica group that batches continuously, under fake time.
+"""Model of a replica group with continuous batching, under fake time.
 
-It models only what routing and limits feel. An engine runs steps. In each
+It models only what affects routing and limits. An engine runs steps. In each
 step every decoding stream gets one token and up to `CHUNK_TOKENS` tokens of
-the prompts that wait are computed, in the order of priority and arrival. A
-step takes a fixed time, plus a time for each decoding stream, plus a time for
-each prompt token. Prompt prefixes stay in the KV cache, block by block, until
-the room is needed; the least recently used block goes first. Running requests
-hold room for their prompt and answer; a request waits while the batch or the
-memory is full.
-
-The figures are chosen for an engine of today (about 25 ms a step with a full
-batch, 12,500 prompt tokens a second) and are not fitted to any policy.
+the waiting prompts are computed, in the order of priority and arrival. A step
+takes a fixed time, plus a time for each decoding stream, plus a time for each
+prompt token. Blocks of prompt prefixes stay in the KV cache until their memory
+is needed; the least recently used block is evicted first. Running requests
+reserve memory for their prompt and answer; a request waits while the batch or
+the memory is full.
+
+The constants describe a current engine (about 25 ms a step with a full batch,
+12,500 prompt tokens a second) and are not fitted to any policy.
 """
 
 import bisect
@@ -48,11 +48,11 @@
 
 
 class StepResult(NamedTuple):
-    """What a step did.
+    """Result of a step.
 
     Attributes:
       duration: length of the step in seconds
-      decoding: streams that got a further token
+      decoding: streams that got another token
       first: attempts that got their first token
       finished: attempts that got their last token
     """
@@ -85,7 +85,7 @@
         self.dropped: list[int] = []
 
     def match(self, blocks: tuple[int, ...]) -> int:
-        """Return how many leading blocks are cached, and use them."""
+        """Return how many leading blocks are cached; mark them as used."""
         count = 0
         for block in blocks:
             if block not in self._blocks:
@@ -112,7 +112,7 @@
     """A replica group seen as one engine."""
 
     def __init__(self) -> None:
-        """Start idle, with an empty cache and normal speed."""
+        """Create an idle engine with an empty cache and normal speed."""
         self.slowness = 1.0
         self.cache = PrefixCache()
         self.cached_tokens = 0
@@ -142,7 +142,7 @@
         return self._reserved / KV_TOKENS
 
     def is_idle(self) -> bool:
-        """Tell whether there is nothing to do."""
+        """Return whether no request waits or runs."""
         return not self.running and not self._waiting
 
     def attempts(self) -> list[int]:
@@ -152,7 +152,7 @@
         return waiting + prefills + list(self._decoding)
 
     def progress(self) -> list[tuple[int, int]]:
-        """Return the attempts that get tokens, and how many they have."""
+        """Return the decoding attempts with their numbers of tokens."""
         return [
             (attempt, self._steps - self._first_steps[attempt] + 1)
             for attempt in self._decoding
@@ -164,19 +164,19 @@
         bisect.insort(self._waiting, (job.priority, self._arrivals, job))
 
     def cancel(self, attempt: int) -> None:
-        """Drop an attempt, wherever it is."""
+        """Drop an attempt that waits or runs."""
         self._waiting = [
             entry for entry in self._waiting if entry[2].attempt != attempt
         ]
         for entry in self._prefills:
             if entry.job.attempt == attempt:
                 self._prefills.remove(entry)
-                self._reserved -= _room(entry.job)
+                self._reserved -= _count_reserved_tokens(entry.job)
                 break
         job = self._decoding.pop(attempt, None)
         self._first_steps.pop(attempt, None)
         if job is not None:
-            self._reserved -= _room(job)
+            self._reserved -= _count_reserved_tokens(job)
 
     def step(self) -> StepResult:
         """Run one step."""
@@ -207,13 +207,17 @@
     def _fill_batch(self) -> None:
         while self._waiting and self.running < MAX_BATCH:
             priority, arrival, job = self._waiting[0]
-            if self._reserved and self._reserved + _room(job) > KV_TOKENS:
+            if (
+                self._reserved
+                and self._reserved + _count_reserved_tokens(job) > KV_TOKENS
+            ):
                 return
             del self._waiting[0]
-            self._reserved += _room(job)
+            self._reserved += _count_reserved_tokens(job)
             matched = self.cache.match(job.blocks) * BLOCK_TOKENS
             self.cache.shrink((KV_TOKENS - self._reserved) // BLOCK_TOKENS)
-            # The last token is always computed, to get the next one.
+            # The last token is always computed, as the first token of the
+            # answer comes from it.
             left = max(1, job.prompt_tokens - matched)
             self.prompt_tokens += job.prompt_tokens
             self.cached_tokens += job.prompt_tokens - left
@@ -235,7 +239,7 @@
         return CHUNK_TOKENS - budget, ready
 
     def _start_decoding(self, job: Job) -> bool:
-        """Start the answer, and tell whether its first token is its last."""
+        """Start the answer; return whether its first token is its last."""
         self._add_to_cache(job.blocks)
         if job.answer_tokens <= 1:
             self._finish(job)
@@ -247,7 +251,7 @@
         return False
 
     def _finish(self, job: Job) -> None:
-        self._reserved -= _room(job)
+        self._reserved -= _count_reserved_tokens(job)
         self._add_to_cache(job.answer_blocks)
 
     def _add_to_cache(self, blocks: tuple[int, ...]) -> None:
@@ -255,6 +259,6 @@
         self.cache.shrink((KV_TOKENS - self._reserved) // BLOCK_TOKENS)
 
 
-def _room(job: Job) -> int:
+def _count_reserved_tokens(job: Job) -> int:
     tokens = job.prompt_tokens + job.answer_tokens
     return math.ceil(tokens / BLOCK_TOKENS) * BLOCK_TOKENS
--- a/bench/region_model.py
+++ b/bench/region_model.py
@@ -1,7 +1,7 @@
-"""A region task over model engines and a log that are plain values.
+"""A region task with in-memory model engines and an in-memory log.
 
 It drives the product's region task by messages, as the tasks of a node do,
-with time as a number. Engines load at once. Helper of the benches.
+under simulated time. Engines load instantly. Helper of the benches.
 """
 
 from collections.abc import Iterator
@@ -113,7 +113,7 @@
 
 
 def make_document(layout: Layout) -> Configuration:
-    """Returns the configuration that wants the groups of a layout."""
+    """Returns the configuration that specifies the groups of a layout."""
     models = tuple(
         ModelSpec(
             name=f"model-{number}",
@@ -133,7 +133,7 @@
 
 
 def make_records(layout: Layout) -> list[StoredRecord]:
-    """Returns the stream in which every group of a layout came to serve."""
+    """Returns the stream of records that leaves every group serving."""
     writer = RecordWriter(node=FORMER, incarnation="1")
     return [
         StoredRecord(offset, writer.prepare(body))
@@ -204,7 +204,7 @@
 
 
 class _Unused:
-    """Stands for a client that a task gets and never calls here."""
+    """Placeholder for a client that a task requires but never calls here."""
 
 
 class RegionModel:
@@ -215,27 +215,27 @@
       log: records of the stream
       task: the task of the product
       appended: records that the task has appended
-      silent: hosts that answer no probe
+      silent: unresponsive hosts, which answer no probe or order
     """
 
     def __init__(self, *, layout: Layout) -> None:
-        """Lets every group of a layout serve, under another controller."""
+        """Creates a region whose groups all serve, under another controller."""
         configure_logging("json", "ERROR")
         self.now = START_S
-        self._passed_at = time.process_time()
+        self._cpu_start_s = time.process_time()
         self.layout = layout
         self.log = make_records(layout)
         self.appended: list[Record] = []
         self.silent: set[str] = set()
-        self._position = 1
-        self._renews = True
+        self._next_offset = 1
+        self._is_renewing = True
         self._former = RecordWriter(node=FORMER, incarnation="2")
         self._entries = {entry["host"]: entry for entry in layout.hosts}
         self._engines = {
             host: _make_engine(host) for host in self._entries
         } | make_states(self.log)
         self._names = list(self._entries)
-        self._seen: dict[str, EngineState] = {}
+        self._decoded_states: dict[str, EngineState] = {}
         self._published: Mailbox[Any] = Mailbox()
         self._load_targets: Mailbox[tuple[LoadTarget, ...]] = Mailbox()
         self._leaders: tuple[LoadTarget, ...] = ()
@@ -279,16 +279,16 @@
         )
 
     def pass_time(self, seconds: float) -> None:
-        """Lets time pass in which the task does nothing."""
+        """Advances the time without any work of the task."""
         self.now += seconds
-        self._passed_at = time.process_time()
+        self._cpu_start_s = time.process_time()
 
     def _read_clock(self) -> float:
-        """Returns the time, which also goes on with the work of the task."""
-        return self.now + time.process_time() - self._passed_at
+        """Returns the time, which includes the processor time of the task."""
+        return self.now + time.process_time() - self._cpu_start_s
 
     def list_hosts(self, leaving: frozenset[str] = frozenset()) -> None:
-        """Lets the task read the host list."""
+        """Sends the host list to the task."""
         hosts = HostList(
             hosts=tuple(
                 HostEntry(**{**entry, "leaving": name in leaving})
@@ -300,10 +300,10 @@
         self.task.inbox.offer(HostsListed(hosts, self.now))
 
     def probe(self, tick: int, ticks: int) -> list[HostProbed]:
-        """Returns the answers of a part of the engines, one of `ticks`.
+        """Returns the probe results of one part of the engines, of `ticks`.
 
-        An engine whose state has not changed gives the same value again, as
-        the client of the product does.
+        An engine whose state has not changed returns the same object again, as
+        the product's client does.
         """
         hosts = self._names[tick::ticks]
         return [
@@ -313,13 +313,15 @@
         ]
 
     def _find_state(self, host: str) -> EngineState:
-        state = self._seen.get(host)
+        state = self._decoded_states.get(host)
         if state is None:
-            state = self._seen[host] = decode_state(self._engines[host])
+            state = self._decoded_states[host] = decode_state(
+                self._engines[host]
+            )
         return state
 
     def report_idle(self) -> None:
-        """Lets the engines of draining groups report that they are idle."""
+        """Reports to the task that the engines of draining groups are idle."""
         load = EngineLoad(
             running=0, waiting=0, cache_used=0.0, tokens_per_s=0.0, age_ms=0
         )
@@ -330,22 +332,29 @@
             self.task.inbox.offer(report)
 
     def read(self) -> None:
-        """Lets the task read the log, which the former controller renews."""
-        if self._renews:
+        """Sends the new records of the log to the task.
+
+        Appends a renewal by the former controller first while it renews.
+        """
+        if self._is_renewing:
             renewal = self._former.prepare(ControllerRenewed(1))
             self.log.append(StoredRecord(len(self.log) + 1, renewal))
-        start = self._position
+        start = self._next_offset
         records = tuple(self.log[start - 1 :])
-        self._position += len(records)
+        self._next_offset += len(records)
         page = LogPage(records, 1, len(self.log) + 1)
         self.task.inbox.offer(PageRead(STREAM, start, page, self.now, self.now))
 
     def advance(self) -> None:
-        """Lets the task take what waits."""
+        """Lets the task handle the messages in its inbox."""
         self.task.advance(self.ports)
 
     def answer(self) -> bool:
-        """Takes the records and orders of the task; tells of new records."""
+        """Handles the records and orders of the task.
+
+        Returns:
+          Whether the task had new records.
+        """
         self._published.receive_waiting()
         records = self.ports.appender.inbox.receive_waiting()
         for record in records:
@@ -359,8 +368,8 @@
             if request.host in self.silent:
                 continue
             state = self._engines[request.host]
-            self._seen.pop(request.host, None)
-            accepted = _take_order(state, request.order)
+            self._decoded_states.pop(request.host, None)
+            accepted = _apply_order(state, request.order)
             self.task.inbox.offer(
                 OrderAnswered(
                     host=request.host,
@@ -374,12 +383,12 @@
         return bool(records)
 
     def compete(self) -> None:
-        """Lets the former controller be gone, so that the task may claim."""
-        self._renews = False
+        """Stops the former controller's renewals, so the task may claim."""
+        self._is_renewing = False
 
 
 def decode_state(state: EngineState) -> EngineState:
-    """Returns a state as it comes off the wire, with strings of its own."""
+    """Returns a state as decoded from the wire, with strings of its own."""
     return msgspec.json.decode(msgspec.json.encode(state), type=EngineState)
 
 
@@ -393,7 +402,7 @@
     )
 
 
-def _take_order(state: EngineState, order: EngineOrder) -> bool:
+def _apply_order(state: EngineState, order: EngineOrder) -> bool:
     if order["fence"] < state["fence"]:
         return False
     state["fence"] = order["fence"]
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,11 +1,11 @@
 """Cost of the product's relay against a bare one of the same libraries.
 
-The load generator, the upstream and each relay are processes of their own.
+The load generator, the upstream and each relay run in separate processes.
 Both relays get the same loads in turns, `ROUNDS` times, and the median of the
-processor time counts. The admission keeps its limits for whole answers, and
-lets all streams through. `request_vs_bare` compares whole answers that are not
+processor time is reported. The admission applies its limits to whole answers
+and admits all streams. `request_vs_bare` compares whole answers that are not
 streamed. `chunk_vs_bare` compares the slope between long and short streams at
-34 ms a token, so that the cost of a request is not in it. The last results
+34 ms a token, which excludes the cost of a request. The last results
 are the greatest rates of one node on one core, and its memory with 1,000 open
 streams.
 """
@@ -34,28 +34,28 @@
 MAX_CHUNK_RATIO = 1.3
 MAX_REQUEST_RATIO = 1.5
 
-_MICROSECONDS = 1e6
+_US_PER_S = 1e6
 _KB_PER_MB = 1024
 _QUICK_DIVISOR = 3
 _SETTLE_S = 4.0
 
 
 class Relay(NamedTuple):
-    """A relay in a process of its own."""
+    """A relay in a separate process."""
 
     name: str
     pipe: Connection
     port: int
 
     def measure(self) -> Usage:
-        """Returns what the relay has used so far."""
+        """Returns the resources that the relay has used so far."""
         self.pipe.send(Order.MEASURE)
         usage: Usage = self.pipe.recv()
         return usage
 
 
 class Cost(NamedTuple):
-    """Processor time that a load took at a relay, in seconds."""
+    """Processor time of a relay under a load, in seconds, and the result."""
 
     cpu_s: float
     result: LoadResult
@@ -106,7 +106,7 @@
         return pipe, port
 
     def run(self, relay: Relay, load: Load) -> Cost:
-        """Puts a load on a relay."""
+        """Sends a load through a relay and returns its cost."""
         before = relay.measure()
         self.load.send(load)
         result: LoadResult = self.load.recv()
@@ -177,8 +177,8 @@
         f"{name}_vs_bare": round(ratio, 3),
         "bound": bound,
         "met": ratio <= bound,
-        "product_us": round(product * _MICROSECONDS, 1),
-        "bare_us": round(bare * _MICROSECONDS, 1),
+        "product_us": round(product * _US_PER_S, 1),
+        "bare_us": round(bare * _US_PER_S, 1),
         "rounds": ROUNDS,
     }
 
--- a/bench/relay_context.py
+++ b/bench/relay_context.py
@@ -22,14 +22,14 @@
 MODEL = "m"
 SERVICE = "filing"
 GROUPS = 24
-"""Groups of a site with about 50 model servers."""
+"""Number of groups of a site with about 50 model servers."""
 
 NODE = "n1"
 DATA_CENTRE = "d1"
 
 
 class BenchContext(RequestContext):
-    """A node whose groups all stand behind one address."""
+    """A node whose groups all have the same address."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         incarnation: str = "i1",
         limited: bool = True,
     ) -> None:
-        """Makes the node.
+        """Creates the node.
 
         Args:
           upstream: IP:port of all engines and backend servers.
           now: gives the present time in seconds.
           incarnation: name of this run of the node.
-          limited: whether the admission keeps its limits, which take a
+          limited: whether the admission applies its limits, which take a
             while to grow to the load of a bench.
         """
         self._now = now
@@ -154,7 +154,7 @@
 
 
 def make_endpoint(group: str, fence: int, address: str) -> Endpoint:
-    """Makes an endpoint of a group at an address."""
+    """Returns an endpoint of a group at an address."""
     return Endpoint(
         group=group,
         fence=fence,
--- a/bench/relay_load.py
+++ b/bench/relay_load.py
@@ -1,4 +1,4 @@
-"""Load generator of the relay bench, a process of its own."""
+"""Load generator of the relay bench, which runs in a separate process."""
 
 import asyncio
 import dataclasses
@@ -8,17 +8,17 @@
 
 from bench.relay_context import MODEL
 
-_START_WITHIN_S = 2.0
-"""Time over which the connections begin, as callers do not come at once."""
+_RAMP_UP_S = 2.0
+"""Time over which the connections start; callers do not all start at once."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What a generator sends.
+    """Parameters of a load.
 
     Attributes:
       port: port of the relay.
-      connections: requests at the same time.
+      connections: concurrent connections.
       requests: requests over each connection, one after the other.
       stream: whether answers are streamed.
       tokens: events of a streamed answer.
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadResult:
-    """What a generator got.
+    """Result of a load.
 
     Attributes:
-      whole: answers that were whole.
-      events: events, without the one that says done.
+      whole: answers received completely.
+      events: events received, without the final `[DONE]`.
       seconds: time from the first request to the last answer.
     """
 
@@ -56,7 +56,7 @@
 
 async def _generate(load: Load) -> LoadResult:
     began = time.monotonic()
-    step_s = _START_WITHIN_S / load.connections if load.stream else 0.0
+    step_s = _RAMP_UP_S / load.connections if load.stream else 0.0
     results = await asyncio.gather(
         *(_use_connection(load, n * step_s) for n in range(load.connections))
     )
--- a/bench/relay_servers.py
+++ b/bench/relay_servers.py
@@ -1,8 +1,8 @@
-"""Servers of the relay bench, each in an operating-system process of its own.
+"""Servers of the relay bench, each in a separate operating-system process.
 
-The upstream stands for all engines: it answers each request with events at a
-fixed pace. The relays are the product's and a bare one made of the same
-libraries, which does nothing but pass chunks on.
+The upstream stands in for all engines: it answers each request with events at
+a fixed interval. The relays are the product's and a bare one made of the same
+libraries, which only forwards chunks.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class Order(enum.StrEnum):
-    """What the bench asks a relay process."""
+    """Commands of the bench to a relay process."""
 
     MEASURE = "measure"
     STOP = "stop"
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Usage:
-    """What a process has used so far.
+    """Resources that a process has used so far.
 
     Attributes:
       cpu_s: processor time in seconds.
@@ -52,7 +52,7 @@
 
 
 def read_usage() -> Usage:
-    """Returns what this process has used so far."""
+    """Returns the resources that this process has used so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     with open("/proc/self/statm", encoding="ascii") as file:
         pages = int(file.read().split()[1])
@@ -60,17 +60,17 @@
 
 
 def run_upstream(pipe: Connection) -> None:
-    """Runs the upstream until it is told to stop."""
+    """Runs the upstream until it receives `Order.STOP`."""
     asyncio.run(_serve(pipe, _start_upstream))
 
 
 def run_bare(pipe: Connection, upstream: str) -> None:
-    """Runs the bare relay until it is told to stop."""
+    """Runs the bare relay until it receives `Order.STOP`."""
     asyncio.run(_serve(pipe, functools.partial(_start_bare, upstream)))
 
 
 def run_product(pipe: Connection, upstream: str, limited: bool) -> None:
-    """Runs the product's relay until it is told to stop."""
+    """Runs the product's relay until it receives `Order.STOP`."""
     start = functools.partial(_start_product, upstream, limited)
     asyncio.run(_serve(pipe, start))
 
@@ -79,24 +79,24 @@
 
 
 async def _serve(pipe: Connection, start: Start) -> None:
-    """Starts a server, tells its port and obeys orders."""
+    """Starts a server, sends its port and handles orders."""
     pipe.send(await start())
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
 
-    def obey() -> None:
+    def handle_order() -> None:
         if _receive_order(pipe) is Order.STOP:
             loop.remove_reader(pipe.fileno())
             stopped.set()
         else:
             pipe.send(read_usage())
 
-    loop.add_reader(pipe.fileno(), obey)
+    loop.add_reader(pipe.fileno(), handle_order)
     await stopped.wait()
 
 
 def _receive_order(pipe: Connection) -> Order:
-    """Returns the next order; a bench that is gone orders to stop."""
+    """Returns the next order; STOP when the bench has closed the pipe."""
     try:
         order: Order = pipe.recv()
     except EOFError:
@@ -196,7 +196,7 @@
 
 
 class _BareHandler(RequestHandler):
-    """Passes a request on and its answer back, chunk by chunk."""
+    """Forwards a request, and its answer chunk by chunk."""
 
     def initialize(self, client: CurlAsyncHTTPClient, upstream: str) -> None:
         self._client = client
@@ -209,13 +209,13 @@
                 method="POST",
                 body=self.request.body,
                 headers={"Content-Type": "application/json"},
-                streaming_callback=self._pass_on,
+                streaming_callback=self._forward_chunk,
                 request_timeout=600.0,
             )
         )
         self.finish()
 
-    def _pass_on(self, chunk: bytes) -> None:
+    def _forward_chunk(self, chunk: bytes) -> None:
         self.write(chunk)
         self.flush()
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,17 +1,17 @@
 """Bench of routing and limits under fake time.
 
-All policies meet the same seeded arrivals (`bench.workload`), at the same
+All policies get the same seeded arrivals (`bench.workload`), with the same
 modelled engines (`bench.queue_model`) and behind the product's admission
 (`bench.entry_model`): 9 entry nodes and 12 groups in 3 data centres. Capacity
-is what least in flight completes when far too much is offered. Loads are 0.5,
-0.8, 1 and 2 times the capacity. The first minute of a run is left out.
+is the rate that least in flight completes under a load far above it. Loads are
+0.5, 0.8, 1 and 2 times the capacity. The first minute of a run is not counted.
 
 Faults: one group is four times slower for 40 s, another three times for 40 s,
 and two groups lose a host for 20 s each.
 
-Goodput counts requests whose whole answer came and whose first token took at
-most 3 s from the arrival at the node. Times to the first token hold the wait
-in the node's queue.
+Goodput counts requests whose answer was complete and whose first token came
+within 3 s of the arrival at the node. Times to the first token include the
+wait in the node's queue.
 
 Results are lines with `measure`: `capacity`, `policy` (one for each policy,
 load and kind of faults, over all seeds), `small_workspace` and `summary`.
@@ -36,8 +36,8 @@
 WARM_UP_S = 60.0
 MEASURED_S = 120.0
 QUICK_MEASURED_S = 45.0
-SATURATION = 140.0
-"""Requests a second that are far too many for the engines."""
+SATURATION_PER_S = 140.0
+"""Requests a second, far above the capacity of the engines."""
 
 LOADS = (0.5, 0.8, 1.0, 2.0)
 QUICK_LOADS = (0.8, 2.0)
@@ -58,7 +58,7 @@
 FLOOD = 2.0
 """Load of the flooding workspace, in capacities."""
 
-OTHER_BLOCKS = 1 << 40
+DISJOINT_OFFSET = 1 << 40
 
 
 def run(*, quick: bool) -> Iterable[dict[str, object]]:
@@ -100,7 +100,7 @@
     seed: int,
     end: float,
 ) -> figures.Outcome:
-    """Run one scenario and return what it gave.
+    """Run one scenario and return its outcome.
 
     Args:
       scenario: policy and conditions.
@@ -208,7 +208,7 @@
 
 
 def _measure_capacity(policy: str, seconds: float) -> float:
-    scenario = figures.Scenario(policy, 0.0, SATURATION, False)
+    scenario = figures.Scenario(policy, 0.0, SATURATION_PER_S, False)
     outcome = _repeat(scenario, (99,), seconds)[0]
     done = sum(1 for each in outcome.results if each.done_s is not None)
     return done / outcome.seconds
@@ -224,7 +224,9 @@
     for seed in seeds:
         small = _draw_workspace("small0", SMALL_SHARE * capacity, seed, end)
         flood = _draw_workspace("large0", FLOOD * capacity, seed + 50, end)
-        both = list(heapq.merge(small, [_move(each) for each in flood]))
+        both = list(
+            heapq.merge(small, [_make_disjoint(each) for each in flood])
+        )
         alone.append(simulate(scenario, small, seed, end))
         beside.append(simulate(scenario, both, seed, end))
     kept = [
@@ -270,12 +272,12 @@
     )
 
 
-def _move(arrival: workload.Arrival) -> workload.Arrival:
-    """Give a request a number and blocks that no other workload has."""
+def _make_disjoint(arrival: workload.Arrival) -> workload.Arrival:
+    """Shift the number and blocks of a request out of all other workloads."""
     return arrival._replace(
-        number=arrival.number + OTHER_BLOCKS,
-        blocks=tuple(block + OTHER_BLOCKS for block in arrival.blocks),
+        number=arrival.number + DISJOINT_OFFSET,
+        blocks=tuple(block + DISJOINT_OFFSET for block in arrival.blocks),
         answer_blocks=tuple(
-            block + OTHER_BLOCKS for block in arrival.answer_blocks
+            block + DISJOINT_OFFSET for block in arrival.answer_blocks
         ),
     )
--- a/bench/routing_figures.py
+++ b/bench/routing_figures.py
@@ -8,11 +8,11 @@
 from bench import entry_requests
 
 FIRST_TOKEN_LIMIT_S = 3.0
-"""Time to the first token from which an answer no longer counts as good."""
+"""Greatest time to the first token of an answer that counts as goodput."""
 
 
 class Scenario(NamedTuple):
-    """What the runs of a result have in common.
+    """Conditions that the runs of a result share.
 
     Attributes:
       policy: name of the routing policy
@@ -30,7 +30,7 @@
 
 
 class Outcome(NamedTuple):
-    """What one run gave.
+    """Outcome of one run.
 
     Attributes:
       results: requests that arrived in the measured time
@@ -60,7 +60,7 @@
 
 
 def measure_goodput(outcomes: list[Outcome]) -> float:
-    """Return the whole answers with an early first token, a second."""
+    """Return the complete answers a second with an early first token."""
     good = sum(
         1
         for outcome in outcomes
@@ -75,8 +75,8 @@
 def _weighted_percentile(pairs: np.ndarray, percent: float) -> float:
     ordered = pairs[np.argsort(pairs[:, 0])]
     counts = np.cumsum(ordered[:, 1])
-    place = np.searchsorted(counts, counts[-1] * percent / 100.0)
-    return float(ordered[place, 0])
+    index = np.searchsorted(counts, counts[-1] * percent / 100.0)
+    return float(ordered[index, 0])
 
 
 def describe(scenario: Scenario, outcomes: list[Outcome]) -> dict[str, object]:
@@ -118,13 +118,13 @@
     small: dict[str, object],
     own_goodput: list[float],
 ) -> dict[str, object]:
-    """Return the line with the ratios that the bench is for.
+    """Return the summary line with the ratios of the bench.
 
     Args:
       product: name of the product's policy.
       lines: lines of all scenarios.
       small: line of the small workspace.
-      own_goodput: goodput at once and twice the product's own capacity.
+      own_goodput: goodput at one and two times the product's own capacity.
     """
 
     def find(policy: str, load: float, field: str) -> float:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,10 +1,10 @@
-"""A randomized soak: real node processes before the stand-in of the platform.
+"""A randomized soak test of node processes against the platform stand-in.
 
-Nodes are processes of their own that are stopped, paused, killed and started
-again by signals; links to the store and to the servers are disturbed by
-loopback proxies; the store and the servers misbehave. Callers check what they
-get, and the servers what they run. `python -m bench.soak --seeds 50` runs many
-seeds; the test runs one for a short time.
+Signals stop, pause, kill and restart the node processes; loopback proxies
+inject faults into the links to the store and to the servers; the store and the
+servers misbehave. Callers check each response, and the servers record what
+they run. `python -m bench.soak --seeds 50` runs many seeds; the test runs one
+for a short time.
 """
 
 import argparse
@@ -47,50 +47,52 @@
 TIMEOUT_S = 5.0
 EVENTS = 12
 PORTS = (16_000, 32_000)
-"""Range of the ports of nodes."""
+"""Range from which the ports of nodes are drawn."""
 
 RESTART_S = 0.5
-"""Time between two looks for processes that have ended."""
+"""Interval between checks for node processes that have exited."""
 
 SETTLE_S = 8.0
-"""Calm time at the end, after which requests must be served again: a node
-that stops takes 3.2 s, and one that starts a second."""
+"""Time without faults at the end, after which requests must be served again:
+a node takes 3.2 s to stop and 1 s to start."""
 
 CRASHING = b"crash-"
-"""Begins the bodies of requests that crash their servers."""
+"""Prefix of the bodies of requests that crash their servers."""
 
-MOST_COMES = 8
-"""Greatest number of times that such a request comes back in a row."""
+MAX_CRASH_SENDS = 8
+"""Greatest number of times in a row that such a request is sent."""
 
-MOST_COPY_AGE_S = 10.0
-"""Greatest age of a copy from which the store comes back."""
+MAX_BACKUP_AGE_S = 10.0
+"""Greatest age of a backup from which the store is restored."""
 
-MOST_ENDS = 3
-"""Servers that such a request may end in the calm time: all nodes that knew of
-it may have been killed before."""
+MAX_LATE_CRASHES = 3
+"""Servers that such a request may crash after the faults have ended: all nodes
+that had a record of it may have been killed before."""
 
 WITHHELD = b"servers ended under it"
-"""Part of the answer to a request that is kept from the servers."""
+"""Part of the response to a request that is withheld from the servers."""
 
-_PROMISES = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _OK = 200
-_CUT = 0
+_CUT_OFF = 0
 
 
 class Plan(NamedTuple):
-    """What a run does."""
+    """Parameters of a run."""
 
     seed: int
     seconds: float
 
 
 class Outcome(NamedTuple):
-    """What a run found.
+    """Result of a run.
 
     Attributes:
-      violations: broken promises.
-      statuses: how often callers got each status; 0 for an answer cut off.
-      served_at_end: part of the requests served after the calm time.
+      violations: broken guarantees.
+      statuses: count of each status that callers got; 0 for a response that
+        was cut off.
+      served_at_end: share of the requests served after the time without faults
+        at the end.
     """
 
     violations: tuple[str, ...]
@@ -99,7 +101,7 @@
 
 
 class _Process:
-    """A node process and its settings, which keep their ports."""
+    """A node process and its settings, with the same ports at each start."""
 
     def __init__(
         self,
@@ -121,7 +123,7 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         if self._process is None or self._process.poll() is not None:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", "chervilrock", "node"],
@@ -132,12 +134,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this very process if it runs."""
+        """Send a signal to this process if it is running."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     def end(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has exited."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
@@ -145,7 +147,7 @@
 
 
 class _Callers:
-    """Callers that check each answer."""
+    """Callers that check each response."""
 
     def __init__(
         self, *, site: Site, generator: random.Random, seed: int
@@ -167,7 +169,7 @@
             await asyncio.sleep(self._generator.uniform(0.0, 0.15))
 
     async def call(self, address: str) -> int:
-        """Send a request and check its answer; return the status."""
+        """Send a request, check its response and return the status."""
         self._number += 1
         request_id = f"{self._seed:08x}{self._number:08x}"
         kind = self._generator.choice(("draft", "draft", "book", "look"))
@@ -184,7 +186,7 @@
             self.once.add(request_id)
         status, body = await self._fetch(address, kind, headers)
         self.statuses[status] += 1
-        if status in _PROMISES and kind == "book":
+        if status in _NOT_RUN_STATUSES and kind == "book":
             self.not_run.add(request_id)
         if status == _OK:
             self._check_body(kind, request_id, body)
@@ -225,7 +227,7 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except CurlError:
-            return _CUT, b""
+            return _CUT_OFF, b""
         return response.code, response.body
 
     def _check_body(self, kind: str, request_id: str, body: bytes) -> None:
@@ -239,21 +241,27 @@
             self.violations.append(f"{request_id} got {body[:80]!r}")
 
     async def check_crashing(self, nodes: list[_Process]) -> None:
-        """Send what has crashed servers to each node once more."""
-        crashes = [one for s in self._site.servers for one in s.crashes]
-        kinds = {one.body: one.body.split(b"-")[1].decode() for one in crashes}
+        """Send each body that crashed a server to every node two more times."""
+        crashes = [
+            crash for server in self._site.servers for crash in server.crashes
+        ]
+        kinds = {
+            crash.body: crash.body.split(b"-")[1].decode() for crash in crashes
+        }
         for body, kind in sorted(kinds.items()):
             before = len(self._site.list_crashes(body))
             for node in nodes * 2:
                 await self.crash(node.address, kind, body)
-            ends = len(self._site.list_crashes(body)) - before
-            if ends > MOST_ENDS:
-                self.violations.append(f"{body!r} ended {ends} more servers")
+            count = len(self._site.list_crashes(body)) - before
+            if count > MAX_LATE_CRASHES:
+                self.violations.append(f"{body!r} ended {count} more servers")
 
     def check_runs(self) -> None:
-        """Check what the servers ran against what callers were told."""
+        """Check what the servers ran against the responses to callers."""
         runs = collections.Counter(
-            run.request_id for one in self._site.servers for run in one.runs
+            run.request_id
+            for server in self._site.servers
+            for run in server.runs
         )
         for request_id in sorted(self.once):
             if runs[request_id] > 1:
@@ -267,8 +275,8 @@
         self._client.close()
 
 
-class _Faults:
-    """Draws faults and takes them back; they overlap."""
+class _FaultInjector:
+    """Injects random faults that overlap, and removes them."""
 
     def __init__(
         self,
@@ -287,7 +295,7 @@
         self._version = 1
 
     async def run(self) -> None:
-        """Disturb until cancelled."""
+        """Inject faults until cancelled."""
         actions = (
             self._kill,
             self._pause,
@@ -339,24 +347,24 @@
         server.fault = ServerFault.NONE
 
     async def _restore_store(self) -> None:
-        """Let the store be away and come back from a copy."""
+        """Make the store unavailable, then restore it from a backup."""
         store = self._site.store
         store.door.fault = self._generator.choice(
             (StoreFault.DOWN, StoreFault.BUSY)
         )
         await asyncio.sleep(self._generator.uniform(0.1, 1.0))
-        store.restore(self._generator.uniform(0.0, MOST_COPY_AGE_S))
+        store.restore(self._generator.uniform(0.0, MAX_BACKUP_AGE_S))
         store.door.fault = StoreFault.NONE
         await asyncio.sleep(self._generator.uniform(0.0, 1.0))
         self._site.write_again()
 
     async def _crash_servers(self) -> None:
-        """Let a request come back that crashes the servers that run it."""
+        """Send a crashing request one or more times, to random nodes."""
         kind = self._generator.choice(("draft", "draft", "book"))
         number = len(self._site.crashing_bodies)
         body = CRASHING + f"{kind}-{number}".encode()
         self._site.crashing_bodies.add(body)
-        for _ in range(self._generator.randint(1, MOST_COMES)):
+        for _ in range(self._generator.randint(1, MAX_CRASH_SENDS)):
             node = self._generator.choice(self._nodes)
             await self._callers.crash(node.address, kind, body)
             await asyncio.sleep(self._generator.uniform(0.0, 0.5))
@@ -366,11 +374,11 @@
         document = make_configuration(self._version)
         self._site.store.write_configuration(document)
 
-    def calm(self) -> None:
-        """Take all faults back."""
+    def remove_faults(self) -> None:
+        """Remove all faults."""
         self._site.store.door.fault = StoreFault.NONE
-        # The end of the run may have cut off what follows a return of the
-        # store.
+        # The end of the run may have interrupted the writes that follow a
+        # restore of the store.
         self._site.write_again()
         for server in self._site.servers:
             server.fault = ServerFault.NONE
@@ -381,7 +389,7 @@
 
 
 async def _supervise(nodes: list[_Process]) -> None:
-    """Start each process again that has ended, as the platform does."""
+    """Restart each process that has exited, as the platform does."""
     while True:
         for node in nodes:
             node.start()
@@ -393,7 +401,7 @@
 
     Args:
       plan: seed and length of the run.
-      folder: gets settings and logs of the nodes.
+      folder: where settings and logs of the nodes are written.
     """
     generator = random.Random(plan.seed)
     site = Site()
@@ -404,7 +412,7 @@
     try:
         site.start(model_servers=12, plain_servers=3)
         for server in site.servers:
-            links.append(await _put_before(server))
+            links.append(await _start_proxy(server))
         link = LinkProxy(target=site.store_address)
         await link.start()
         links.append(link)
@@ -420,7 +428,7 @@
         ]
         supervisor = asyncio.create_task(_supervise(nodes))
         await asyncio.sleep(SETTLE_S)
-        faults = _Faults(
+        faults = _FaultInjector(
             generator=generator,
             site=site,
             nodes=nodes,
@@ -436,11 +444,11 @@
                     for _ in range(CALLERS):
                         group.create_task(callers.run(nodes))
         callers.violations += limited.end()
-        faults.calm()
+        faults.remove_faults()
         await asyncio.sleep(SETTLE_S)
         await callers.check_crashing(nodes)
         await asyncio.sleep(SETTLE_S / 2)
-        ends = [
+        final_statuses = [
             await callers.call(nodes[number % NODES].address)
             for number in range(20)
         ]
@@ -456,12 +464,12 @@
     return Outcome(
         violations=tuple(callers.violations),
         statuses=dict(callers.statuses),
-        served_at_end=ends.count(_OK) / len(ends),
+        served_at_end=final_statuses.count(_OK) / len(final_statuses),
     )
 
 
-async def _put_before(server: SiteServer) -> LinkProxy:
-    """Put a proxy before a server and register its address."""
+async def _start_proxy(server: SiteServer) -> LinkProxy:
+    """Start a proxy in front of a server and register its address."""
     link = LinkProxy(target=server.address)
     await link.start()
     server.address = link.address
@@ -470,22 +478,23 @@
 
 
 def _find_ip(seed: int) -> str:
-    """Return an IP number of loopback for the nodes of a run.
+    """Return a loopback IP address for the nodes of a run.
 
-    Runs beside each other must not take the ports of nodes that are down.
+    Concurrent runs use different addresses, so that none of them takes the
+    ports of another run's nodes that are down.
     """
     return f"127.{1 + seed // 250 % 250}.{1 + seed % 250}.1"
 
 
 def find_ports(ip: str, taken: set[int]) -> dict[str, int]:
-    """Return free ports, so that a process that comes back keeps its own.
+    """Return free ports that a node process keeps over restarts.
 
-    They lie below those that the kernel gives to outgoing connections, one of
-    which may take the port of a process that is down.
+    They lie below the kernel's range of ephemeral ports: otherwise an outgoing
+    connection could take the port of a process that is down.
 
     Args:
-      ip: IP number of the nodes.
-      taken: ports of nodes that do not listen yet; gets the new ones.
+      ip: IP address of the nodes.
+      taken: ports of nodes that do not listen yet; the new ones are added.
     """
     ports: dict[str, int] = {}
     for name in ("callers", "ready", "directory", "peers"):
@@ -501,7 +510,10 @@
 
 
 def _render(document: dict[str, object]) -> str:
-    """Return a settings file; JSON values are TOML values for those here."""
+    """Return the text of a settings file.
+
+    The JSON form of each value used here is also its TOML form.
+    """
     plain = {k: v for k, v in document.items() if not isinstance(v, dict)}
     tables = {k: v for k, v in document.items() if isinstance(v, dict)}
     lines = [
@@ -516,7 +528,7 @@
 
 
 def main() -> int:
-    """Run seeds one after the other; the exit code tells whether all held."""
+    """Run seeds one after the other; return 1 if any of them failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--first", type=int, default=1)
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,23 +1,23 @@
 """Arrivals for the bench of routing and limits.
 
-The workload was chosen from the users' needs before any policy was measured,
-and is the same for every policy of a run:
+The workload follows the users' needs, is independent of the policies and is
+the same for every policy of a run:
 
 * Ten workspaces, three of them large: each of these sends a quarter of the
   requests, each of the others a seventh of the remaining quarter.
 * Each workspace has one system prompt of 512 to 2,048 tokens.
-* Of the arrivals that start something new, six in ten start a conversation
-  of four turns on average, with 8 s of thinking on average after each answer;
-  each turn repeats the whole conversation. The others ask once, with 128 to
-  1,024 tokens of their own after the system prompt.
+* Of the other new arrivals, six in ten start a conversation of four turns on
+  average, with a mean think time of 8 s after each answer; each turn repeats
+  the whole conversation. The rest are single requests, with 128 to 1,024
+  tokens of their own after the system prompt.
 * One new arrival in twenty is a long prompt: a document of 8,000 to 12,000
-  tokens without a shared part.
+  tokens without a shared prefix.
 * Answers: log-normal, median 120 tokens, at most 600.
 * Bursts: the rate changes between 0.6 times (10 s on average) and 1.8 times
   (5 s on average) the mean rate.
 * One request in ten has priority 1, the others 5; 85 in 100 are idempotent.
-* Callers wait 60 s. A conversation stays with one entry node, as callers keep
-  the address, and changes it in a fifth of its turns.
+* Callers time out after 60 s. A conversation keeps its entry node, as callers
+  keep the address, and changes it in a fifth of its turns.
 """
 
 import bisect
@@ -94,7 +94,7 @@
         seed: int,
         weights: dict[str, float] | None = None,
     ) -> None:
-        """Set the size of the run.
+        """Create the workload of one run.
 
         Args:
           rate: mean requests in a second.
@@ -110,7 +110,7 @@
         self._nodes = nodes
         self._weights = weights or default_weights()
         self._blocks = itertools.count(1)
-        self._systems = {
+        self._system_prompts = {
             name: self._new_blocks(512, 2048) for name in self._weights
         }
 
@@ -167,7 +167,7 @@
             return self._make(
                 time, numbers, node, workspace, self._new_blocks(8000, 12000)
             )
-        text = self._systems[workspace]
+        text = self._system_prompts[workspace]
         if self._rng.random() < CONVERSATION_SHARE:
             text += self._new_blocks(64, 512)
             arrival = self._make(time, numbers, node, workspace, text)
@@ -240,10 +240,10 @@
 def fit_rate(
     arrivals: list[Arrival], *, rate: float, start: float, end: float
 ) -> list[Arrival]:
-    """Stretch the times so that a window gets exactly the mean rate.
+    """Scale the times so that a window gets exactly the mean rate.
 
     Bursts make the number of requests of a short run vary by a tenth and
-    more, which would blur the load that a result is for.
+    more, so that the load of a result would not be the intended one.
 
     Args:
       arrivals: requests in the order of time, for longer than the window.
