--- a/bench/workload.py
+++ b/bench/workload.py
@@ -6,10 +6,10 @@
 * Ten workspaces, three of them large: each of these sends a quarter of the
   requests, each of the others a seventh of the remaining quarter.
 * Each workspace has one system prompt of 512 to 2,048 tokens.
-* Of the other new arrivals, six in ten start a conversation of four turns on
-  average, with a mean think time of 8 s after each answer; each turn repeats
-  the whole conversation. The rest are single requests, with 128 to 1,024
-  tokens of their own after the system prompt.
+* Of the new arrivals without a long prompt, six in ten start a conversation of
+  four turns on average, with a mean think time of 8 s after each answer; each
+  turn repeats the whole conversation. The rest are single requests, with 128
+  to 1,024 tokens of their own after the system prompt.
 * One new arrival in twenty is a long prompt: a document of 8,000 to 12,000
   tokens without a shared prefix.
 * Answers: log-normal, median 120 tokens, at most 600.
