--- a/chervilrock/decisions/outage.py
+++ b/chervilrock/decisions/outage.py
@@ -63,7 +63,7 @@
     hosts: Iterable[HostEntry],
     pending: Progress,
     lease: LeaseView,
-    out_since: float | None,
+    outage_since: float | None,
     now: float,
     timing: OutageTiming = _DEFAULT_TIMING,
 ) -> tuple[SendOrder, ...]:
@@ -77,11 +77,11 @@
       lease: the lease of the region from the point of view of this process;
         it may have expired, but no claim of another process may have been
         read.
-      out_since: when the log was last read, None if it is available.
+      outage_since: when the log was last read, None if it is available.
       now: current time in seconds.
       timing: waiting times.
     """
-    if out_since is None or now < out_since + timing.out_after_s:
+    if outage_since is None or now < outage_since + timing.out_after_s:
         return ()
     if region.epoch == 0 or lease.granted_epoch != region.epoch:
         return ()
--- a/chervilrock/decisions/serving/suspects.py
+++ b/chervilrock/decisions/serving/suspects.py
@@ -16,8 +16,8 @@
 
 MIN_ANNOUNCED_CRASHES = 2
 """Crashes from which on all nodes have a request in their list, so that the
-node that sees the third crash withholds it, and a normal completion anywhere
-clears it."""
+node that observes the third crash withholds it, and a normal completion
+anywhere clears it."""
 
 FORGET_S = 600.0
 """Time after its last crash for which a request that is not withheld counts as
@@ -29,7 +29,7 @@
 
 SETTLE_S = 0.05
 """Time to wait for the reports of other nodes on the same crash: they take some
-milliseconds, and without them a bystander may look like the cause."""
+milliseconds, and without them a bystander may seem to be the cause."""
 
 RIVAL_SETTLE_S = 0.25
 """The same while a likelier request had all of these crashes but one: the
@@ -51,7 +51,7 @@
 
     Attributes:
       server: identifier of this incarnation of the server.
-      node: node that saw it.
+      node: node that observed it.
       since_first_byte_s: seconds since the first byte of the answer, 0 without
         one.
       since_sent_s: seconds since the request was sent there.
@@ -83,7 +83,7 @@
 
     @property
     def nodes(self) -> str:
-        """The nodes that saw the crashes, for a log line."""
+        """The nodes that observed the crashes, for a log line."""
         return ",".join(sorted({crash.node for crash in self.crashes}))
 
 
@@ -91,7 +91,7 @@
     """What one node reports to another about requests and crashed servers.
 
     Attributes:
-      crashes: requests and the crashes that the node saw.
+      crashes: requests and the crashes that the node observed.
       cleared: requests that have completed normally since.
     """
 
@@ -137,7 +137,7 @@
         Args:
           content: the request.
           crash: the crash.
-          now: present time.
+          now: current time.
           settle_s: time after which the crash counts.
         """
         record = self._records.get(content)
@@ -172,12 +172,12 @@
     def evaluate(self, now: float) -> tuple[Suspect, ...]:
         """Return the requests with several crashes, and which are withheld.
 
-        The one with most crashes is withheld first, of equals the one whose
-        servers outlived the start of its answer for the shortest time. A crash
-        that it explains does not count against the bystanders there, unless a
-        bystander's answer began later than its own. Everything is evaluated
-        anew each time, so that a bystander is released as soon as the cause is
-        known.
+        The one with most crashes is withheld first; of equals, the one whose
+        servers crashed soonest after they had begun to answer it, if at all. A
+        crash that it explains does not count against the bystanders there,
+        unless a bystander's answer began later than its own. Everything is
+        evaluated anew each time, so that a bystander is released as soon as the
+        cause is known.
         """
         self._expire(now)
         suspects = {
@@ -269,8 +269,8 @@
 def _get_sort_key(record: _Record) -> tuple[int, float, float]:
     """Return a key that sorts records by how likely they are the cause.
 
-    Of those that no server had begun to answer, the one that was there longest
-    is the likeliest to have started running.
+    Of those that no server had begun to answer, the one that was on its servers
+    longest is the likeliest to have started running.
     """
     return (-len(record.crashes), *_score(record, record.crashes))
 
@@ -311,12 +311,12 @@
             for suspect in reversed(both)
             if suspect.is_withheld
         }
-        begun = tuple(
+        newly_withheld = tuple(
             suspect
             for content, suspect in self._withheld.items()
             if content not in former
         )
-        return begun, tuple(
+        return newly_withheld, tuple(
             content for content in former if content not in self._withheld
         )
 
--- a/chervilrock/edges/tickets.py
+++ b/chervilrock/edges/tickets.py
@@ -1,10 +1,10 @@
-"""Requests that carry a ticket: run once, joined, replayed or passed on."""
+"""Requests that carry a ticket: run once, joined, replayed or forwarded."""
 
 from chervilrock.decisions.requests import tickets
 from chervilrock.decisions.requests.runregistry import ClaimKind, RecordedAnswer
 from chervilrock.decisions.requests.tickets import TicketId
-from chervilrock.edges import once, servicecalls
-from chervilrock.edges.dispatch import CallerRequest, Prepared
+from chervilrock.edges import detachedruns, servicecalls
+from chervilrock.edges.dispatch import CallerRequest, PreparedRequest
 from chervilrock.edges.errors import CallerError, ErrorCode
 from chervilrock.edges.path import RequestPath
 from chervilrock.edges.relay import BackendRequest, Transfer
@@ -16,10 +16,12 @@
 METHOD_HEADER = "X-Caller-Method"
 TARGET_HEADER = "X-Caller-Target"
 
-_OWN_REQUEST_HEADERS = frozenset(
+_EXCLUDED_REQUEST_HEADERS = frozenset(
     {"expect", "host", METHOD_HEADER.lower(), TARGET_HEADER.lower()}
 )
-_OWN_ANSWER_HEADERS = frozenset({"date", "server", "x-request-id", "x-node"})
+_EXCLUDED_ANSWER_HEADERS = frozenset(
+    {"date", "server", "x-request-id", "x-node"}
+)
 
 UNREACHABLE = CallerError(
     ErrorCode.TICKET_UNKNOWN,
@@ -29,11 +31,11 @@
 )
 
 
-class TicketDesk:
-    """The tickets of this incarnation and the runs that they are used for."""
+class TicketedRequestRunner:
+    """Runs a request at most once for each ticket of this incarnation."""
 
     def __init__(self, *, path: RequestPath) -> None:
-        """Starts without tickets.
+        """Creates a runner without tickets.
 
         Args:
           path: request path of the node.
@@ -41,11 +43,13 @@
         self._path = path
         self._context = path.context
         self._table = tickets.TicketTable()
-        self._runs: once.OnceRuns[int] = once.OnceRuns(path=path)
+        self._runs: detachedruns.DetachedRuns[int] = detachedruns.DetachedRuns(
+            path=path
+        )
 
     @property
     def table(self) -> tickets.TicketTable:
-        """The tickets that this incarnation minted."""
+        """The tickets that this incarnation issued."""
         return self._table
 
     def mint(self) -> Ticket:
@@ -58,80 +62,80 @@
         )
 
     def is_own(self, ticket: TicketId) -> bool:
-        """Tells whether this incarnation minted a ticket."""
+        """Returns whether this incarnation issued a ticket."""
         return ticket.incarnation == self._context.incarnation
 
     async def answer(
         self,
         sequence: int,
         request: CallerRequest,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         sink: AnswerSink,
     ) -> None:
         """Answers a request that carries a ticket of this incarnation.
 
         Args:
-          sequence: number of the ticket.
+          sequence: sequence number of the ticket.
           request: the request.
-          prepared: the request, checked.
-          sink: takes the answer.
+          prepared: the validated request.
+          sink: sink for the answer.
         """
-        fingerprint = once.fingerprint(request)
+        fingerprint = detachedruns.fingerprint(request)
         claim = self._table.claim(sequence, fingerprint, self._context.now())
         if claim.kind is ClaimKind.FORGOTTEN:
-            once.fail(sink, once.FORGOTTEN)
+            detachedruns.fail(sink, detachedruns.FORGOTTEN)
         elif claim.kind is ClaimKind.MISMATCH:
-            once.fail(sink, once.MISMATCH)
+            detachedruns.fail(sink, detachedruns.MISMATCH)
         elif claim.kind is ClaimKind.REPLAY:
-            once.replay(claim, sink)
+            detachedruns.replay(claim, sink)
         elif claim.kind is ClaimKind.RUN and self._context.leaving:
             self._table.finish(sequence, outcome=Outcome.NOT_RUN)
-            once.fail(sink, once.LEAVING)
+            detachedruns.fail(sink, detachedruns.LEAVING)
         else:
             if claim.kind is ClaimKind.RUN:
                 self._start(sequence, prepared)
             await self._runs.follow(sequence, request, sink)
 
-    def _start(self, sequence: int, prepared: Prepared) -> None:
-        """Starts the one run of a ticket."""
+    def _start(self, sequence: int, prepared: PreparedRequest) -> None:
+        """Starts the single run of a ticket."""
 
         def finish(outcome: Outcome, answer: RecordedAnswer | None) -> None:
             self._table.finish(sequence, outcome=outcome, answer=answer)
 
         self._runs.start(sequence, prepared, finish)
 
-    async def pass_on(
+    async def forward(
         self, ticket: TicketId, request: CallerRequest, sink: AnswerSink
     ) -> None:
-        """Passes a request to the node that minted its ticket.
+        """Forwards a request to the node that issued its ticket.
 
-        Nothing is known of what that node did before, so whatever goes wrong
-        leaves the outcome unknown.
+        That node may have run the request before, so the outcome is unknown
+        after any failure.
 
         Args:
           ticket: the ticket.
           request: the request.
-          sink: takes the answer.
+          sink: sink for the answer.
         """
         address = self._context.peer_address(ticket.incarnation)
         if address is None:
-            once.fail(sink, once.FORGOTTEN)
+            detachedruns.fail(sink, detachedruns.FORGOTTEN)
             return
         receiver = ServiceReceiver(
             method="POST",
             expected=(),
             sink=sink,
-            own_headers=_OWN_ANSWER_HEADERS,
+            own_headers=_EXCLUDED_ANSWER_HEADERS,
         )
         peer_request = make_peer_request(
             address, ticket, request, self._context.now()
         )
         transfer = Transfer(request=peer_request, receiver=receiver)
         sink.attach(transfer)
-        end = await self._path.transmit(transfer)
+        result = await self._path.transmit(transfer)
         sink.attach(None)
-        if end.head is None or end.error:
-            once.fail(sink, UNREACHABLE)
+        if result.head is None or result.error:
+            detachedruns.fail(sink, UNREACHABLE)
         else:
             receiver.finish()
 
@@ -139,8 +143,10 @@
 def make_peer_request(
     address: str, ticket: TicketId, request: CallerRequest, now: float
 ) -> BackendRequest:
-    """Makes the request to the node that minted a ticket."""
-    headers = servicecalls.copy_headers(request.headers, _OWN_REQUEST_HEADERS)
+    """Makes the request to the node that issued a ticket."""
+    headers = servicecalls.copy_headers(
+        request.headers, _EXCLUDED_REQUEST_HEADERS
+    )
     headers.append((METHOD_HEADER, request.method))
     headers.append((TARGET_HEADER, request.target))
     return BackendRequest(
--- a/test/tasks/overload.py
+++ b/test/tasks/overload.py
@@ -37,8 +37,8 @@
 from chervilrock.edges.relay import BackendRequest, TransferEnd
 from chervilrock.edges.serving import exchange as exchange_module
 from chervilrock.edges.serving import exchangelog
-from chervilrock.edges.serving import places as places_module
 from chervilrock.edges.serving import receiver as receiver_module
+from chervilrock.edges.serving import slots as slots_module
 from chervilrock.edges.serving.callerrequest import CallerRequest
 from chervilrock.edges.serving.exchange import Context, Exchange
 from chervilrock.platform import headers as names
@@ -320,12 +320,12 @@
         if self._end.done():
             return
         self._receive_head(200, ("Content-Type", "text/event-stream"))
-        self._receiver.take_data(b"id: 1\ndata: x\n\n")
+        self._receiver.handle_data(b"id: 1\ndata: x\n\n")
 
     def end_answer(self) -> None:
         if self._end.done():
             return
-        self._receiver.take_data(b"id: 2\ndata: x\n\n")
+        self._receiver.handle_data(b"id: 2\ndata: x\n\n")
         self._complete("")
 
     def _receive_head(self, status: int, pair: tuple[str, str]) -> None:
@@ -337,7 +337,7 @@
                 ("X-Request-Id", self._headers["X-Request-Id"]),
             ),
         )
-        self._receiver.take_head(self.head)
+        self._receiver.handle_head(self.head)
 
     def _complete(self, error: str) -> None:
         if not self._end.done():
@@ -539,7 +539,7 @@
         if not connection.closed.is_set() and connection.has_begun:
             await connection.closed.wait()
         elif not connection.closed.is_set():
-            exchange.leave()
+            exchange.cancel()
         await running
         await asyncio.sleep(CALLER_ROUND_TRIP_S / 2)
         return connection
@@ -611,7 +611,7 @@
 
     for module in (
         exchange_module,
-        places_module,
+        slots_module,
         receiver_module,
         waitqueue_module,
     ):
