--- a/chervilrock/decisions/serving/hosts.py
+++ b/chervilrock/decisions/serving/hosts.py
@@ -82,7 +82,7 @@
         self._left_at: dict[str, float] = {}
         self._unresponsive: dict[str, float] = {}
         self._slow_until: dict[str, float] = {}
-        self._born: dict[str, int] = {}
+        self._started_ms: dict[str, int] = {}
         self._unanswered: set[str] = set()
         self._reported_at: dict[str, float] = {}
         self._slow_seen_at = float("-inf")
@@ -97,15 +97,15 @@
         first entry of the new incarnation, and the server as a member of its
         former group.
         """
-        known = self._born.get(server, 0)
+        known = self._started_ms.get(server, 0)
         if not known:
-            self._born[server] = started_ms
+            self._started_ms[server] = started_ms
         if not known or started_ms in (known, 0):
             # A message without an incarnation does not contradict it.
             return IncarnationOrder.SAME
         if started_ms < known:
             return IncarnationOrder.FORMER
-        self._born[server] = started_ms
+        self._started_ms[server] = started_ms
         self._forget(server)
         return IncarnationOrder.NEW
 
@@ -162,7 +162,7 @@
         self.last_report_at = now
         self._unanswered.discard(server)
         self._reported_at[server] = now
-        if report.pace >= SLOW_TIME_FACTOR:
+        if report.time_factor >= SLOW_TIME_FACTOR:
             self._slow_until[server] = now + SLOW_EXCLUSION_S
             self._slow_seen_at = now
         else:
--- a/chervilrock/decisions/serving/leadership.py
+++ b/chervilrock/decisions/serving/leadership.py
@@ -37,9 +37,8 @@
 """Time after which the leader of a claim counts as lost if this node has never
 received an announcement of it. A live leader sends the first one to a node
 within two intervals of its registration, or 0.9 s later behind a relay that is
-lost. A timeout in proportion to the number of nodes is too long: after a power
-failure of all 232 nodes they waited 4.2 s for a leader that did not come
-back."""
+lost. A timeout in proportion to the number of nodes is too long: at 232 nodes,
+all of which lost power, it is 4.2 s, spent on a leader that is gone."""
 
 CLAIM_STAGGER_S = 0.12
 """Delay between the claims of nodes of consecutive ranks. All nodes read a
--- a/chervilrock/decisions/serving/orders.py
+++ b/chervilrock/decisions/serving/orders.py
@@ -88,7 +88,7 @@
       obeyed: number of orders that it has executed since its start.
       running: number of running requests.
       waiting: number of waiting requests.
-      pace: time factor of the server; 1.0 is nominal, 2.0 takes twice as long.
+      time_factor: factor on its nominal times; 2.0 takes twice as long.
       started_ms: start time in milliseconds since the Unix epoch, 0 when it is
         not reported.
     """
@@ -98,5 +98,5 @@
     obeyed: int
     running: int
     waiting: int
-    pace: float
+    time_factor: float
     started_ms: int = 0
--- a/chervilrock/decisions/serving/polling.py
+++ b/chervilrock/decisions/serving/polling.py
@@ -32,8 +32,8 @@
 """Pause of the candidates between two reads of nodes and leaders while there is
 no leader. A claim succeeds only if nothing was written since its node last
 read, and when all nodes start at once, each of their registrations makes it
-fail. 12 nodes have a leader 0.1 s after the first start; with pauses of 0.1 s,
-and of 0.5 s after a failed claim, it took 0.6 s."""
+fail. 12 nodes have a leader 0.1 s after the first start; pauses of 0.1 s, and
+of 0.5 s after a failed claim, delay it to 0.6 s."""
 
 EAGER_RETRY_S = 0.25
 """Longest time between two attempts of the nodes that inform all others of the
--- a/chervilrock/decisions/serving/stalls.py
+++ b/chervilrock/decisions/serving/stalls.py
@@ -79,7 +79,7 @@
 
 
 def compute_stall_limits(
-    engine: EngineProfile, *, pace: float, running: int
+    engine: EngineProfile, *, time_factor: float, running: int
 ) -> StallLimits:
     """Return the longest times without an event at a healthy group.
 
@@ -89,18 +89,18 @@
 
     Args:
       engine: timing of the engine.
-      pace: time factor of the model.
+      time_factor: time factor of the model.
       running: requests that run at the group.
     """
     step_s = engine.step_s + engine.per_request_s * min(running, engine.slots)
     chunk_s = engine.prompt_chunk / engine.prompt_tokens_per_s
     two_passes_s = 2 * engine.steps_per_pass * step_s + 2 * chunk_s
-    between_events_s = pace * two_passes_s + STALL_MARGIN_S
+    between_events_s = time_factor * two_passes_s + STALL_MARGIN_S
     # After an outage all prompts arrive at once and are read one by one; an
     # allowance of 0.15 s for all of them moves streams away from groups that
     # are still reading.
     prompt_s = engine.usual_prompt_tokens / engine.prompt_tokens_per_s
-    reading_s = pace * prompt_s * running
+    reading_s = time_factor * prompt_s * running
     return StallLimits(
         between_events_s, between_events_s + FIRST_EVENT_MARGIN_S + reading_s
     )
--- a/chervilrock/decisions/serving/verification.py
+++ b/chervilrock/decisions/serving/verification.py
@@ -117,7 +117,7 @@
         now: float,
     ) -> bool:
         """Return whether a member is so slow that its group is dissolved."""
-        if report.pace >= UNUSABLE_TIME_FACTOR:
+        if report.time_factor >= UNUSABLE_TIME_FACTOR:
             return True
         return self._registry.hosts.is_slow(server, now) and self._has_standby(
             group, now
--- a/chervilrock/node/serving.py
+++ b/chervilrock/node/serving.py
@@ -291,7 +291,7 @@
         model = engine.models.get(endpoint.model)
         limits = compute_stall_limits(
             engine,
-            pace=1.0 if model is None else model.time_factor,
+            time_factor=1.0 if model is None else model.time_factor,
             running=self._state.count_requests(endpoint.server),
         )
         if not detector.is_stalled(limits, now):
--- a/chervilrock/platform/engines.py
+++ b/chervilrock/platform/engines.py
@@ -118,6 +118,6 @@
         obeyed=report.sequence,
         running=report.running,
         waiting=report.waiting,
-        pace=report.pace,
+        time_factor=report.pace,
         started_ms=report.born,
     )
--- a/test/decisions/serving/test_decisions.py
+++ b/test/decisions/serving/test_decisions.py
@@ -294,16 +294,20 @@
 
 
 def test_the_stall_limit_leaves_time_within_the_longest_pause() -> None:
-    large = compute_stall_limits(ENGINE, pace=LARGE.time_factor, running=6)
-    small = compute_stall_limits(ENGINE, pace=SMALL.time_factor, running=6)
+    large = compute_stall_limits(
+        ENGINE, time_factor=LARGE.time_factor, running=6
+    )
+    small = compute_stall_limits(
+        ENGINE, time_factor=SMALL.time_factor, running=6
+    )
     assert_that(large.between_events_s, LessThan(0.3))
     assert_that(small.between_events_s, LessThan(0.2))
-    full = compute_stall_limits(ENGINE, pace=1.0, running=99)
+    full = compute_stall_limits(ENGINE, time_factor=1.0, running=99)
     assert_that(full.between_events_s, GreaterThan(large.between_events_s))
 
 
 def test_the_stall_limit_allows_for_reading_concurrent_prompts() -> None:
-    limits = compute_stall_limits(ENGINE, pace=1.0, running=13)
+    limits = compute_stall_limits(ENGINE, time_factor=1.0, running=13)
     reading_s = 13 * 1076 / 46000
     watch = StallDetector()
     for number in range(13):
